--- a/src/controller/schedulerfeed.cpp
+++ b/src/controller/schedulerfeed.cpp
@@ -13,7 +13,7 @@
     Policy policy;
     // The state sets aside what was declared, so the scheduler must not set aside less.
     policy.correctSizes = false;
-    policy.quarantine.maxFleetPart = static_cast<double>(cell.quarantinePercent) / 100.0;
+    policy.quarantine.maxFleetFraction = static_cast<double>(cell.quarantinePercent) / 100.0;
     const double besidePrompt = 1.0 - static_cast<double>(cell.promptHeadroomPercent) / 100.0;
     policy.of(WorkClass::Batch).maxShare = besidePrompt;
     policy.of(WorkClass::Gang).maxShare = besidePrompt;
--- a/src/decisions/admission.cpp
+++ b/src/decisions/admission.cpp
@@ -87,7 +87,7 @@
         return failure(ErrorCode::NotFound, "the team is not configured; ask an operator");
     if (!request.need.isNonNegative())
         return failure(ErrorCode::InvalidArgument, "a task cannot need less than nothing");
-    if (request.jobTasks == 0 || ledger.unlikeItsGang(request))
+    if (request.jobTasks == 0 || ledger.mismatchesGang(request))
         return failure(ErrorCode::InvalidArgument, "all tasks of a gang must be alike");
     if (ledger.findTask(request.id) != noIndex)
         return failure(ErrorCode::Conflict, "a task with this identity is known already");
--- a/src/decisions/explainer.cpp
+++ b/src/decisions/explainer.cpp
@@ -93,11 +93,12 @@
         return queue.reason;
     if (ledger.fleet.capacityFor(queue.key.need, 1) == 0)
         return Reason::NotOnFleet;
-    const std::vector<Index> &holders = ledger.fleet.holders();
-    const bool kept = std::any_of(holders.begin(), holders.end(), [&](Index holder) {
-        return ledger.fleet[holder].zone() == Zone::Normal
-            && queue.charge.fitsInto(ledger.fleet[holder].free());
-    });
+    const std::vector<Index> &headroomTargets = ledger.fleet.headroomTargets();
+    const bool kept =
+        std::any_of(headroomTargets.begin(), headroomTargets.end(), [&](Index holder) {
+            return ledger.fleet[holder].availability() == Availability::Normal
+                && queue.charge.fitsInto(ledger.fleet[holder].free());
+        });
     return kept ? Reason::Headroom : Reason::NoRoom;
 }
 
--- a/src/decisions/fairscheduler.cpp
+++ b/src/decisions/fairscheduler.cpp
@@ -38,7 +38,7 @@
     Reservations reservations{ledger};
     Quarantine quarantine{ledger};
     Headroom headroom{ledger};
-    RoomMaker roomMaker{ledger, log};
+    Preemptor preemptor{ledger, log};
     Placer placer{ledger, reservations, quarantine, log};
     Deadlines deadlines;
     Instant lastUpkeep{};
@@ -49,7 +49,7 @@
     bool upkeepWanted() const
     {
         return !this->ledger.blocked.empty() || this->headroom.targets() > 0
-            || this->roomMaker.hasWork();
+            || this->preemptor.hasWork();
     }
 
     void endAttempt(Index task, AttemptOutcome end, Instant now);
@@ -70,7 +70,7 @@
 void FairScheduler::applyPolicy(const Policy &policy, Instant)
 {
     this->parts->ledger.applyPolicy(policy);
-    this->parts->roomMaker.limitsChanged();
+    this->parts->preemptor.limitsChanged();
     this->parts->changed = true;
 }
 
@@ -85,7 +85,7 @@
     target.known = true;
     // A new process may have mended what made the old one fail.
     if (restarted)
-        this->parts->quarantine.forgive(index);
+        this->parts->quarantine.clearRecord(index);
     ledger.fleet.refresh(index);
     ledger.markFreed(index);
     this->parts->changed = true;
@@ -98,7 +98,7 @@
     if (index == noIndex)
         return;
     ledger.fleet[index].known = false;
-    this->parts->quarantine.forgive(index);
+    this->parts->quarantine.clearRecord(index);
     ledger.fleet.refresh(index);
     this->parts->changed = true;
 }
@@ -147,9 +147,9 @@
 {
     const TaskRecord &task = this->ledger.tasks[index];
     WorkQueue &queue = this->ledger.queues[task.queue];
-    this->quarantine.outcome(task, end, now);
+    this->quarantine.recordOutcome(task, end, now);
     if (end == AttemptOutcome::Succeeded) {
-        queue.profile.runTimeMeasured(now - task.placedAt);
+        queue.profile.addRunTime(now - task.placedAt);
         if (queue.key.workClass == WorkClass::Prompt)
             this->headroom.promptEnded(now - task.placedAt);
     }
@@ -175,7 +175,7 @@
         return ledger.remove(index);
     this->parts->enqueue(index, true, now);
     if (const GangRecord *gang = ledger.gangOf(ledger.tasks[index]))
-        this->parts->roomMaker.gangBroken(*gang);
+        this->parts->preemptor.stopRemainingMembers(*gang);
 }
 
 void FairScheduler::placementRejected(TaskId id, Instant now)
@@ -200,7 +200,7 @@
 {
     const TaskRecord &task = this->ledger.tasks[index];
     if (task.probe)
-        this->quarantine.probeVoid(task.target, now);
+        this->quarantine.probeInconclusive(task.target, now);
     this->ledger.release(index);
     if (task.cancelled)
         this->ledger.remove(index);
@@ -244,9 +244,9 @@
     task.usedMemoryMb = measured(ResourceKind::MemoryMb);
     target.usedMilliCores += task.usedMilliCores;
     target.usedMemoryMb += task.usedMemoryMb;
-    this->parts->roomMaker.usageChanged(task.target);
+    this->parts->preemptor.usageChanged(task.target);
     WorkQueue &queue = ledger.queues[task.queue];
-    queue.profile.usageMeasured(queue.key.need, used);
+    queue.profile.addUsage(queue.key.need, used);
     const Resources before = queue.charge;
     this->parts->correctSize(queue);
     this->parts->wakeCorrected(task.queue, before);
@@ -316,7 +316,7 @@
         this->upkeepPart = UpkeepPart::Room;
         return;
     case UpkeepPart::Room:
-        this->roomMaker.update(now, out);
+        this->preemptor.update(now, out);
         this->upkeepPart = UpkeepPart::Headroom;
         return;
     }
@@ -326,7 +326,7 @@
 {
     Parts &all = *this->parts;
     all.changed = false;
-    all.ledger.rescale();
+    all.ledger.updateRanks();
     all.refuseLate(now, out);
     all.upkeep(now, out);
     all.moreToPlace = all.placer.run(now, out);
@@ -338,7 +338,7 @@
     if (all.moreToPlace || all.changed)
         return all.lastUpkeep;
     Instant next = std::min(all.deadlines.next(), all.quarantine.nextProbe());
-    next = std::min(next, all.roomMaker.nextInsistence());
+    next = std::min(next, all.preemptor.nextEscalation());
     if (all.upkeepWanted())
         next = std::min(next, all.lastUpkeep + upkeepEvery);
     return std::max(next, all.lastUpkeep);
--- a/src/decisions/fleet.cpp
+++ b/src/decisions/fleet.cpp
@@ -64,17 +64,17 @@
         this->countSize(target);
     this->freeInNormal -= this->countedFree[index];
     this->countedFree[index] = Resources();
-    if (target.zone() == Zone::Closed)
+    if (target.availability() == Availability::Closed)
         return;
     this->widenLargest(target.info.total);
     this->enterBucket(index);
-    if (target.zone() == Zone::Normal) {
+    if (target.availability() == Availability::Normal) {
         this->countedFree[index] = target.sharedFree();
         this->freeInNormal += this->countedFree[index];
     }
 }
 
-void Fleet::setHold(Index index, const Resources &hold)
+void Fleet::setHeadroom(Index index, const Resources &hold)
 {
     TargetRecord &target = this->targets[index];
     target.hold = hold;
@@ -152,7 +152,7 @@
         const std::int64_t most = std::max<std::int64_t>(this->largestTotal[kind], 1);
         return std::clamp<std::int64_t>(free[kind] * roomLevels / most, 0, roomLevels);
     };
-    std::int64_t key = static_cast<std::int64_t>(target.zone());
+    std::int64_t key = static_cast<std::int64_t>(target.availability());
     key = key * domainsInKey + target.info.failureDomain % domainsInKey;
     key = key * (roomLevels + 1) + level(ResourceKind::MilliCores);
     key = key * (roomLevels + 1) + level(ResourceKind::MemoryMb);
@@ -182,7 +182,7 @@
 void Fleet::activate(Index index)
 {
     Bucket &bucket = this->buckets[index];
-    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.zone)];
+    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
     bucket.activePosition = static_cast<Index>(zoneBuckets.size());
     zoneBuckets.push_back(index);
 }
@@ -190,7 +190,7 @@
 void Fleet::deactivate(Index index)
 {
     Bucket &bucket = this->buckets[index];
-    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.zone)];
+    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
     zoneBuckets[bucket.activePosition] = zoneBuckets.back();
     this->buckets[zoneBuckets.back()].activePosition = bucket.activePosition;
     zoneBuckets.pop_back();
@@ -206,7 +206,7 @@
     if (isNew) {
         this->buckets.emplace_back();
         this->buckets.back().key = key;
-        this->buckets.back().zone = target.zone();
+        this->buckets.back().availability = target.availability();
         this->buckets.back().domain = target.info.failureDomain;
     }
     Bucket &bucket = this->buckets[entry->second];
@@ -286,7 +286,7 @@
     std::size_t ranked = 0;
     std::size_t possible = 0;
     ++this->scanStart;
-    for (const Index index : this->activeIn(search.zone)) {
+    for (const Index index : this->activeIn(search.availability)) {
         const Bucket &bucket = this->buckets[index];
         if (!search.need.fitsInto(bucket.maxFree))
             continue;
@@ -312,7 +312,7 @@
     if (found.target != noIndex || possible <= ranked)
         return found;
     std::size_t tries = 0;
-    const std::vector<Index> &candidates = this->activeIn(search.zone);
+    const std::vector<Index> &candidates = this->activeIn(search.availability);
     for (std::size_t i = 0; i < candidates.size() && tries < moreBuckets; ++i) {
         Bucket &bucket = this->buckets[candidates[(this->scanStart + i) % candidates.size()]];
         if (!search.need.fitsInto(bucket.maxFree))
--- a/src/decisions/fleet.h
+++ b/src/decisions/fleet.h
@@ -18,7 +18,7 @@
 struct TargetSearch
 {
     Resources need;
-    Zone zone = Zone::Normal;
+    Availability availability = Availability::Normal;
     const Spread *spread = nullptr; ///< of the service that the task belongs to
 };
 
@@ -65,10 +65,10 @@
     const Resources &normalFree() const { return this->freeInNormal; } ///< free in Zone::Normal
 
     /// Keeps \a hold of the target for prompt work; nothing to let go.
-    void setHold(Index target, const Resources &hold);
+    void setHeadroom(Index target, const Resources &hold);
 
     /// Targets with a hold, in no order.
-    const std::vector<Index> &holders() const { return this->holding; }
+    const std::vector<Index> &headroomTargets() const { return this->holding; }
     std::uint32_t known() const { return this->knownCount; }
     bool empty() const { return this->announcedCount == 0; } ///< none is announced
 
@@ -83,7 +83,7 @@
     struct Bucket
     {
         std::uint32_t key = 0;
-        Zone zone = Zone::Normal;
+        Availability availability = Availability::Normal;
         std::uint16_t domain = 0;
         Index activePosition = noIndex; ///< among the buckets of its zone with members
         std::vector<Member> members;
@@ -106,9 +106,9 @@
     void enterBucket(Index index);
     void activate(Index bucket);
     void deactivate(Index bucket);
-    const std::vector<Index> &activeIn(Zone zone) const
+    const std::vector<Index> &activeIn(Availability availability) const
     {
-        return this->active[static_cast<std::size_t>(zone)];
+        return this->active[static_cast<std::size_t>(availability)];
     }
     void countSize(TargetRecord &target);
     void widenLargest(const Resources &total);
@@ -119,7 +119,7 @@
     Slab<TargetRecord> targets;
     std::unordered_map<TargetId, Index> byId;
     std::vector<Bucket> buckets; ///< grows to the number of distinct keys seen
-    std::array<std::vector<Index>, zoneCount> active; ///< buckets with members, by zone
+    std::array<std::vector<Index>, availabilityCount> active; ///< buckets with members, by zone
     std::unordered_map<std::uint32_t, Index> bucketByKey;
     std::vector<SizeClass> sizes;
     Resources largestTotal;
--- a/src/decisions/headroom.cpp
+++ b/src/decisions/headroom.cpp
@@ -88,7 +88,7 @@
 void Headroom::update(Instant now)
 {
     const double wanted = this->wantedTasks(now);
-    const std::vector<Index> &pool = this->ledger.fleet.holders();
+    const std::vector<Index> &pool = this->ledger.fleet.headroomTargets();
     if (wanted == 0.0 && pool.empty())
         return;
     const Resources charge = this->meanCharge();
@@ -116,11 +116,11 @@
 
 void Headroom::renew(const Resources &charge, double wantedEach)
 {
-    const std::vector<Index> &pool = this->ledger.fleet.holders();
+    const std::vector<Index> &pool = this->ledger.fleet.headroomTargets();
     for (std::size_t i = 0; i < renewedAtOnce && !pool.empty(); ++i) {
         this->renewCursor = (this->renewCursor + 1) % pool.size();
         const Index index = pool[this->renewCursor];
-        if (this->ledger.fleet[index].zone() == Zone::Closed)
+        if (this->ledger.fleet[index].availability() == Availability::Closed)
             this->letGo(index);
         else
             this->hold(index, charge, wantedEach);
@@ -137,7 +137,7 @@
     for (Index i = 0; i < std::min(limit, maxTargetsSeen); ++i) {
         this->cursor = (this->cursor + 1) % limit;
         const TargetRecord &target = this->ledger.fleet[this->cursor];
-        if (target.zone() != Zone::Normal || target.holdPosition != noIndex
+        if (target.availability() != Availability::Normal || target.holdPosition != noIndex
             || !charge.fitsInto(target.info.total))
             continue;
         // Spread over failure domains first; then where least stands that has to end before the
@@ -170,7 +170,7 @@
     if (target.hold == wanted)
         return;
     const bool less = wanted.fitsInto(target.hold);
-    this->ledger.fleet.setHold(index, wanted);
+    this->ledger.fleet.setHeadroom(index, wanted);
     if (less)
         this->ledger.markFreed(index);
 }
@@ -181,7 +181,7 @@
     this->capacity -= entry.tasks;
     --this->domains[entry.domain];
     entry = Held();
-    this->ledger.fleet.setHold(index, Resources());
+    this->ledger.fleet.setHeadroom(index, Resources());
     this->ledger.markFreed(index);
 }
 
--- a/src/decisions/headroom.h
+++ b/src/decisions/headroom.h
@@ -30,7 +30,7 @@
 
     std::uint32_t targets() const
     {
-        return static_cast<std::uint32_t>(this->ledger.fleet.holders().size());
+        return static_cast<std::uint32_t>(this->ledger.fleet.headroomTargets().size());
     }
 
 private:
--- a/src/decisions/jobfaults.cpp
+++ b/src/decisions/jobfaults.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void JobFaults::failed(JobId job, Index target)
+void JobFailures::failed(JobId job, Index target)
 {
     const auto [item, isNew] = this->entries.try_emplace(job);
     if (isNew) {
@@ -27,14 +27,14 @@
         entry.targets[entry.distinct++] = target;
 }
 
-void JobFaults::succeeded(JobId job)
+void JobFailures::succeeded(JobId job)
 {
     const auto item = this->entries.find(job);
     if (item != this->entries.end())
         ++item->second.successes;
 }
 
-bool JobFaults::failsEverywhere(JobId job) const
+bool JobFailures::failsEverywhere(JobId job) const
 {
     const auto item = this->entries.find(job);
     return item != this->entries.end() && item->second.distinct >= targetsToBlame
--- a/src/decisions/jobfaults.h
+++ b/src/decisions/jobfaults.h
@@ -12,7 +12,7 @@
 
 /// Jobs that have failed lately, to tell a job that fails everywhere from a target that fails
 /// everything. Bounded: the oldest are forgotten.
-class JobFaults
+class JobFailures
 {
 public:
     void failed(JobId job, Index target);
--- a/src/decisions/ledger.cpp
+++ b/src/decisions/ledger.cpp
@@ -32,7 +32,7 @@
         team.configured = true;
     }
     this->rankedAgainst = Resources();
-    this->rescale();
+    this->updateRanks();
     for (Index team = 0; team < this->teams.limit(); ++team)
         this->limitChanged(team);
 }
@@ -66,7 +66,7 @@
     return &this->gangs.at(task.job);
 }
 
-bool Ledger::unlikeItsGang(const TaskRequest &request) const
+bool Ledger::mismatchesGang(const TaskRequest &request) const
 {
     const auto gang = this->gangs.find(request.job);
     if (request.workClass != WorkClass::Gang || gang == this->gangs.end())
@@ -403,7 +403,7 @@
     team.rank = rank;
 }
 
-void Ledger::rescale()
+void Ledger::updateRanks()
 {
     if (this->rankedAgainst == this->fleet.total())
         return;
--- a/src/decisions/ledger.h
+++ b/src/decisions/ledger.h
@@ -40,7 +40,7 @@
 
     /// True if \a request is unlike the tasks that its gang already has: a gang is planned by one
     /// shape, so that an unlike task would be placed where it has no room.
-    bool unlikeItsGang(const TaskRequest &request) const;
+    bool mismatchesGang(const TaskRequest &request) const;
 
     /// Takes a task into the books; it neither waits nor is placed yet.
     Index add(const TaskRequest &request, Instant now);
@@ -84,7 +84,7 @@
     void limitChanged(Index team);
 
     /// Puts every team's rank right after the fleet or the weights have changed.
-    void rescale();
+    void updateRanks();
 
     /// The team furthest below its share that has a queue to look at, or noIndex.
     Index nextTeam(Round round) const;
--- a/src/decisions/placer.cpp
+++ b/src/decisions/placer.cpp
@@ -46,13 +46,13 @@
 
 bool Placer::mayUse(const WorkQueue &queue, const TargetRecord &target, Instant now) const
 {
-    switch (target.zone()) {
-    case Zone::Normal:
+    switch (target.availability()) {
+    case Availability::Normal:
         return true;
-    case Zone::Reserved:
+    case Availability::Reserved:
         return this->reservations.admits(queue, target,
                                          this->ledger.tasks[queue.head].declaredRunTime, now);
-    case Zone::Closed:
+    case Availability::Closed:
         break;
     }
     return false;
@@ -270,16 +270,16 @@
 
 TargetFound Placer::findHeadroom(const WorkQueue &queue)
 {
-    const std::vector<Index> &holders = this->ledger.fleet.holders();
+    const std::vector<Index> &headroomTargets = this->ledger.fleet.headroomTargets();
     TargetFound found;
-    for (std::size_t i = 0; i < std::min(holders.size(), maxHoldersSeen); ++i) {
+    for (std::size_t i = 0; i < std::min(headroomTargets.size(), maxHoldersSeen); ++i) {
         // Stays where it last found room; moves on where there is none.
-        this->holderCursor %= holders.size();
-        const TargetRecord &target = this->ledger.fleet[holders[this->holderCursor]];
+        this->holderCursor %= headroomTargets.size();
+        const TargetRecord &target = this->ledger.fleet[headroomTargets[this->holderCursor]];
         ++found.considered;
-        if (target.zone() == Zone::Normal && queue.charge.fitsInto(target.free())
+        if (target.availability() == Availability::Normal && queue.charge.fitsInto(target.free())
             && (target.promptPlaced + queue.charge).fitsInto(target.hold)) {
-            found.target = holders[this->holderCursor];
+            found.target = headroomTargets[this->holderCursor];
             return found;
         }
         ++this->holderCursor;
@@ -293,7 +293,7 @@
         return this->findAmongHints(queue, now);
     if (queue.reservation != noIndex) {
         for (const Index target : this->reservations[queue.reservation].targets) {
-            if (this->ledger.fleet[target].zone() == Zone::Reserved
+            if (this->ledger.fleet[target].availability() == Availability::Reserved
                 && queue.charge.fitsInto(this->ledger.fleet[target].sharedFree()))
                 return TargetFound{target, 1};
         }
@@ -333,7 +333,7 @@
     Reason reason = Reason::BestFit;
     if (queue.key.workClass == WorkClass::Service)
         reason = Reason::Spread;
-    else if (this->ledger.fleet[found.target].zone() == Zone::Reserved
+    else if (this->ledger.fleet[found.target].availability() == Availability::Reserved
              && this->ledger.fleet[found.target].reservation != queue.reservation)
         reason = Reason::Backfill;
     this->ledger.dequeue(task);
@@ -353,7 +353,7 @@
     if (queue.reservation != noIndex) {
         for (const Index target : this->reservations[queue.reservation].targets) {
             while (this->plan.size() < gang.members.size()
-                   && this->ledger.fleet[target].zone() == Zone::Reserved
+                   && this->ledger.fleet[target].availability() == Availability::Reserved
                    && charge.fitsInto(this->ledger.fleet[target].sharedFree()))
                 take(target);
         }
--- a/src/decisions/quarantine.cpp
+++ b/src/decisions/quarantine.cpp
@@ -38,11 +38,11 @@
     return profile.trust() * std::max(0.0, std::log(badTargetFailure / chance));
 }
 
-void Quarantine::outcome(const TaskRecord &task, AttemptOutcome end, Instant now)
+void Quarantine::recordOutcome(const TaskRecord &task, AttemptOutcome end, Instant now)
 {
     if (end == AttemptOutcome::Stopped || end == AttemptOutcome::Lost) {
         if (task.probe)
-            this->probeVoid(task.target, now);
+            this->probeInconclusive(task.target, now);
         return;
     }
     const bool failed = end != AttemptOutcome::Succeeded;
@@ -53,8 +53,8 @@
     else if (!failed)
         this->jobs.succeeded(task.job);
     if (end != AttemptOutcome::NeverStarted) {
-        this->ledger.queues[task.queue].profile.outcomeSeen(failed,
-                                                            static_cast<double>(target.suspicion));
+        this->ledger.queues[task.queue].profile.addOutcome(failed,
+                                                           static_cast<double>(target.suspicion));
     }
     target.suspicion = static_cast<float>(std::clamp(sum, 0.0, maxEvidence));
     if (task.probe)
@@ -68,12 +68,12 @@
     // Never more than a set part of the fleet: when everything seems to fail, the fault is more
     // likely in the work or in us, and an empty fleet helps nobody.
     const QuarantinePolicy &policy = this->ledger.policy.quarantine;
-    const double most = policy.maxFleetPart * this->ledger.fleet.known();
+    const double most = policy.maxFleetFraction * this->ledger.fleet.known();
     if (static_cast<double>(this->members.size() + 1) > std::max(most, 1.0))
         return;
     TargetRecord &target = this->ledger.fleet[index];
     target.quarantined = true;
-    target.probeWait = policy.firstProbe;
+    target.probeWait = policy.firstProbeDelay;
     target.probeAt = now + target.probeWait;
     target.probeSuccesses = 0;
     target.probing = false;
@@ -92,7 +92,7 @@
     this->ledger.markFreed(index);
 }
 
-void Quarantine::forgive(Index index)
+void Quarantine::clearRecord(Index index)
 {
     TargetRecord &target = this->ledger.fleet[index];
     if (target.quarantined)
@@ -127,7 +127,7 @@
     this->ledger.fleet[target].probing = true;
 }
 
-void Quarantine::probeVoid(Index index, Instant now)
+void Quarantine::probeInconclusive(Index index, Instant now)
 {
     TargetRecord &target = this->ledger.fleet[index];
     target.probing = false;
@@ -148,7 +148,7 @@
         return;
     }
     target.probeSuccesses = 0;
-    target.probeWait = std::min(target.probeWait * 2, this->ledger.policy.quarantine.lastProbe);
+    target.probeWait = std::min(target.probeWait * 2, this->ledger.policy.quarantine.maxProbeDelay);
     target.probeAt = now + target.probeWait;
 }
 
--- a/src/decisions/quarantine.h
+++ b/src/decisions/quarantine.h
@@ -19,10 +19,10 @@
     explicit Quarantine(Ledger &ledger);
 
     /// A task that is still in the books as placed ended like this.
-    void outcome(const TaskRecord &task, AttemptOutcome end, Instant now);
+    void recordOutcome(const TaskRecord &task, AttemptOutcome end, Instant now);
 
     /// The target's process is a new one, or the target is gone: its record is clean.
-    void forgive(Index target);
+    void clearRecord(Index target);
 
     /// Targets whose next probe is due.
     std::vector<Index> dueForProbe(Instant now) const;
@@ -31,7 +31,7 @@
     void probeStarted(Index target);
 
     /// The probe's placement was undone, or it ended without telling anything.
-    void probeVoid(Index target, Instant now);
+    void probeInconclusive(Index target, Instant now);
 
     /// When the next probe is due, or Instant::max().
     Instant nextProbe() const;
@@ -45,7 +45,7 @@
     void release(Index target);
 
     Ledger &ledger;
-    JobFaults jobs;
+    JobFailures jobs;
     std::vector<Index> members;
 };
 
--- a/src/decisions/reservations.cpp
+++ b/src/decisions/reservations.cpp
@@ -161,8 +161,8 @@
         {limit, maxTargetsSeen, std::max(minTargetsSeen, queue.key.gangSize * seenPerTask)});
     for (Index i = 0; i < seen; ++i) {
         this->cursor = (this->cursor + 1) % limit;
-        const Zone zone = this->ledger.fleet[this->cursor].zone();
-        if (zone != Zone::Normal)
+        const Availability availability = this->ledger.fleet[this->cursor].availability();
+        if (availability != Availability::Normal)
             continue;
         const Candidate found = this->candidate(this->cursor, queue.charge, now);
         if (found.capacity > 0)
@@ -237,7 +237,8 @@
                 return noIndex;
             }
             const TargetRecord &target = this->ledger.fleet[index];
-            if (target.zone() == Zone::Reserved && queue.charge.fitsInto(target.sharedFree())
+            if (target.availability() == Availability::Reserved
+                && queue.charge.fitsInto(target.sharedFree())
                 && this->admits(queue, target, declaredRunTime, now))
                 return index;
         }
--- a/src/decisions/roommaker.cpp
+++ b/src/decisions/roommaker.cpp
@@ -23,12 +23,12 @@
 
 } // namespace
 
-RoomMaker::RoomMaker(Ledger &books, DecisionLog &decisionLog)
+Preemptor::Preemptor(Ledger &books, DecisionLog &decisionLog)
     : ledger(books)
     , log(decisionLog)
 {}
 
-void RoomMaker::usageChanged(Index index)
+void Preemptor::usageChanged(Index index)
 {
     const TargetRecord &target = this->ledger.fleet[index];
     const bool over = target.usedMemoryMb > target.info.total[ResourceKind::MemoryMb]
@@ -39,7 +39,7 @@
         this->overused.push_back(index);
 }
 
-void RoomMaker::gangBroken(const GangRecord &gang)
+void Preemptor::stopRemainingMembers(const GangRecord &gang)
 {
     for (const Index member : gang.members) {
         const TaskRecord &task = this->ledger.tasks[member];
@@ -48,12 +48,12 @@
     }
 }
 
-Instant RoomMaker::nextInsistence() const
+Instant Preemptor::nextEscalation() const
 {
     return this->asked.empty() ? Instant::max() : this->asked.front().at + insistAfter;
 }
 
-void RoomMaker::update(Instant now, std::vector<Decision> &out)
+void Preemptor::update(Instant now, std::vector<Decision> &out)
 {
     for (const TaskId id : this->broken) {
         const Index task = this->ledger.findTask(id);
@@ -81,13 +81,13 @@
     }
 }
 
-bool RoomMaker::mayEnd(const TaskRecord &task) const
+bool Preemptor::mayEnd(const TaskRecord &task) const
 {
     const WorkClass workClass = this->ledger.queues[task.queue].key.workClass;
     return task.repeatable && !task.ending && this->ledger.policy.of(workClass).preemptible;
 }
 
-bool RoomMaker::givesWay(const TaskRecord &task, const WorkQueue &queue) const
+bool Preemptor::givesWay(const TaskRecord &task, const WorkQueue &queue) const
 {
     if (!this->mayEnd(task))
         return false;
@@ -103,7 +103,7 @@
         >= this->ledger.rankWith(to, queue.charge);
 }
 
-double RoomMaker::costOf(const TaskRecord &task, Instant now) const
+double Preemptor::costOf(const TaskRecord &task, Instant now) const
 {
     // The work that is lost: resources times the time they were used. A gang loses all of it.
     const QueueKey &key = this->ledger.queues[task.queue].key;
@@ -112,7 +112,7 @@
         * static_cast<double>(key.gangSize);
 }
 
-VictimSet RoomMaker::victimsOn(Index index, const WorkQueue &queue, Instant now) const
+VictimSet Preemptor::victimsOn(Index index, const WorkQueue &queue, Instant now) const
 {
     const TargetRecord &target = this->ledger.fleet[index];
     Resources wanted = queue.charge + this->claimedOn(index) - target.roomFor(queue.key.workClass);
@@ -132,7 +132,7 @@
     return cheapestSet(std::move(victims), wanted);
 }
 
-bool RoomMaker::waitsTooLong(const WorkQueue &queue, Instant now) const
+bool Preemptor::waitsTooLong(const WorkQueue &queue, Instant now) const
 {
     const Microseconds patience = this->ledger.policy.of(queue.key.workClass).patience;
     if (patience.count() == 0 || now - queue.roomAskedAt < std::max(patience, askAgainAfter))
@@ -147,7 +147,7 @@
     return now - since >= patience;
 }
 
-void RoomMaker::makeRoomFor(Index queueIndex, Instant now, std::vector<Decision> &out)
+void Preemptor::makeRoomFor(Index queueIndex, Instant now, std::vector<Decision> &out)
 {
     WorkQueue &queue = this->ledger.queues[queueIndex];
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
@@ -167,7 +167,7 @@
     }
 }
 
-Resources RoomMaker::claimedOn(Index target) const
+Resources Preemptor::claimedOn(Index target) const
 {
     Resources claimed;
     for (const Claim &claim : this->claims) {
@@ -177,7 +177,7 @@
     return claimed;
 }
 
-VictimSet RoomMaker::bestVictims(const WorkQueue &queue, Instant now)
+VictimSet Preemptor::bestVictims(const WorkQueue &queue, Instant now)
 {
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
     const Index limit = this->ledger.fleet.limit();
@@ -185,9 +185,10 @@
     for (Index i = 0; i < std::min(limit, maxTargetsSeen); ++i) {
         this->cursor = (this->cursor + 1) % limit;
         const TargetRecord &target = this->ledger.fleet[this->cursor];
-        const Zone zone = target.zone();
-        if (zone == Zone::Closed
-            || (zone == Zone::Reserved && !prompt && target.reservation != queue.reservation)
+        const Availability availability = target.availability();
+        if (availability == Availability::Closed
+            || (availability == Availability::Reserved && !prompt
+                && target.reservation != queue.reservation)
             || !queue.charge.fitsInto(target.info.total))
             continue;
         VictimSet set = this->victimsOn(this->cursor, queue, now);
@@ -198,7 +199,7 @@
     return best;
 }
 
-void RoomMaker::enforceLimits(Instant now, std::vector<Decision> &out)
+void Preemptor::enforceLimits(Instant now, std::vector<Decision> &out)
 {
     std::vector<std::vector<Index>> candidates(this->ledger.teams.limit());
     bool any = false;
@@ -220,7 +221,7 @@
         this->enforceLimit(team, candidates[team], now, out);
 }
 
-void RoomMaker::enforceLimit(Index teamIndex, std::vector<Index> &candidates, Instant now,
+void Preemptor::enforceLimit(Index teamIndex, std::vector<Index> &candidates, Instant now,
                              std::vector<Decision> &out)
 {
     const TeamRecord &team = this->ledger.teams[teamIndex];
@@ -245,7 +246,7 @@
         this->end(task, Reason::LimitLowered, now, out);
 }
 
-void RoomMaker::relieve(Index targetIndex, Instant now, std::vector<Decision> &out)
+void Preemptor::relieve(Index targetIndex, Instant now, std::vector<Decision> &out)
 {
     const TargetRecord &target = this->ledger.fleet[targetIndex];
     const bool memory = target.usedMemoryMb > target.info.total[ResourceKind::MemoryMb];
@@ -274,12 +275,12 @@
     this->ask(worst, DecisionKind::Throttle, Reason::TargetOverused, now, out);
 }
 
-void RoomMaker::end(Index task, Reason reason, Instant now, std::vector<Decision> &out)
+void Preemptor::end(Index task, Reason reason, Instant now, std::vector<Decision> &out)
 {
     this->ask(task, DecisionKind::Checkpoint, reason, now, out);
 }
 
-void RoomMaker::ask(Index index, DecisionKind kind, Reason reason, Instant now,
+void Preemptor::ask(Index index, DecisionKind kind, Reason reason, Instant now,
                     std::vector<Decision> &out)
 {
     TaskRecord &task = this->ledger.tasks[index];
@@ -298,7 +299,7 @@
     this->log.emit(decision, 0, now, out);
 }
 
-void RoomMaker::insist(Instant now, std::vector<Decision> &out)
+void Preemptor::insist(Instant now, std::vector<Decision> &out)
 {
     while (!this->asked.empty() && now - this->asked.front().at >= insistAfter) {
         const Asked asking = this->asked.front();
--- a/src/decisions/roommaker.h
+++ b/src/decisions/roommaker.h
@@ -14,10 +14,10 @@
 /// Makes room where work waits beyond its class's patience, where a limit was lowered below what
 /// runs, and where measured use is more than a target has: by throttle, checkpoint, then stop,
 /// batch first, the cheapest set that suffices. Only repeatable tasks of preemptible classes.
-class RoomMaker
+class Preemptor
 {
 public:
-    RoomMaker(Ledger &ledger, DecisionLog &log);
+    Preemptor(Ledger &ledger, DecisionLog &log);
 
     /// Looks at the blocked queues and at what was asked for before.
     void update(Instant now, std::vector<Decision> &out);
@@ -32,13 +32,13 @@
     }
 
     /// When update() has something to insist on, or Instant::max().
-    Instant nextInsistence() const;
+    Instant nextEscalation() const;
 
     /// The measured use of a target has changed.
     void usageChanged(Index target);
 
     /// Ends the other tasks of a gang that has to start again.
-    void gangBroken(const GangRecord &gang);
+    void stopRemainingMembers(const GangRecord &gang);
 
 private:
     /// An ending that was asked for, to be asked for more firmly if nothing comes of it.
--- a/src/decisions/targetrecord.h
+++ b/src/decisions/targetrecord.h
@@ -13,13 +13,13 @@
 namespace guavavalve::internal {
 
 /// Who may be placed on a target.
-enum class Zone : std::uint8_t {
+enum class Availability : std::uint8_t {
     Normal, ///< anyone
     Reserved, ///< the holder of its reservation, and what ends before that starts
     Closed, ///< nobody: unknown, lost, departing or in quarantine
 };
 
-inline constexpr std::size_t zoneCount = 3;
+inline constexpr std::size_t availabilityCount = 3;
 
 /// One target and what is set aside on it.
 struct TargetRecord
@@ -46,13 +46,13 @@
     Instant probeAt{};
     Milliseconds probeWait{0};
 
-    Zone zone() const
+    Availability availability() const
     {
         if (!this->known || this->info.departing || this->quarantined)
-            return Zone::Closed;
+            return Availability::Closed;
         if (this->reservation != noIndex)
-            return Zone::Reserved;
-        return Zone::Normal;
+            return Availability::Reserved;
+        return Availability::Normal;
     }
 
     Resources free() const { return this->info.total - this->placed; }
--- a/src/decisions/tracecodec.cpp
+++ b/src/decisions/tracecodec.cpp
@@ -86,8 +86,8 @@
     return Json{{"teams", teams},
                 {"classes", classes},
                 {"quarantine",
-                 Json::array({quarantine.maxFleetPart, quarantine.firstProbe.count(),
-                              quarantine.lastProbe.count()})},
+                 Json::array({quarantine.maxFleetFraction, quarantine.firstProbeDelay.count(),
+                              quarantine.maxProbeDelay.count()})},
                 {"correctSizes", policy.correctSizes}};
 }
 
@@ -104,9 +104,9 @@
     for (const auto &[workClass, name] : workClassNames)
         policy.of(workClass) = classFrom(json.at("classes").at(std::string(name)));
     const Json &quarantine = json.at("quarantine");
-    policy.quarantine.maxFleetPart = quarantine.at(0).get<double>();
-    policy.quarantine.firstProbe = Milliseconds(quarantine.at(1).get<std::int64_t>());
-    policy.quarantine.lastProbe = Milliseconds(quarantine.at(2).get<std::int64_t>());
+    policy.quarantine.maxFleetFraction = quarantine.at(0).get<double>();
+    policy.quarantine.firstProbeDelay = Milliseconds(quarantine.at(1).get<std::int64_t>());
+    policy.quarantine.maxProbeDelay = Milliseconds(quarantine.at(2).get<std::int64_t>());
     policy.correctSizes = json.at("correctSizes").get<bool>();
     return policy;
 }
--- a/src/decisions/workprofile.cpp
+++ b/src/decisions/workprofile.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void WorkProfile::usageMeasured(const Resources &need, const Resources &used)
+void WorkProfile::addUsage(const Resources &need, const Resources &used)
 {
     const auto ratio = [&need, &used](ResourceKind kind) {
         return static_cast<double>(used[kind]) / static_cast<double>(need[kind]);
@@ -46,12 +46,12 @@
         this->memoryRatio.add(ratio(ResourceKind::MemoryMb));
 }
 
-void WorkProfile::runTimeMeasured(Microseconds runTime)
+void WorkProfile::addRunTime(Microseconds runTime)
 {
     this->runSeconds.add(std::chrono::duration<double>(runTime).count());
 }
 
-void WorkProfile::outcomeSeen(bool failed, double suspicion)
+void WorkProfile::addOutcome(bool failed, double suspicion)
 {
     // A target that fails everything must not make the work look bad, or its failures would soon
     // no longer count against the target.
--- a/src/decisions/workprofile.h
+++ b/src/decisions/workprofile.h
@@ -12,13 +12,13 @@
 {
 public:
     /// A task that declared \a need was measured to use \a used.
-    void usageMeasured(const Resources &need, const Resources &used);
+    void addUsage(const Resources &need, const Resources &used);
 
     /// A task ran for \a runTime to its good end.
-    void runTimeMeasured(Microseconds runTime);
+    void addRunTime(Microseconds runTime);
 
     /// A task ended on a target that is suspect to the degree \a suspicion (0: not at all).
-    void outcomeSeen(bool failed, double suspicion);
+    void addOutcome(bool failed, double suspicion);
 
     /// \a need as usage has shown it to be, in steps so that it rarely changes. Slots,
     /// connections and accelerators are exact as declared.
