--- a/bench/decisions/trial.cpp
+++ b/bench/decisions/trial.cpp
@@ -249,7 +249,8 @@
     this->result.packing += useful.dominantShare(this->deployment.total);
     double sum = 0.0;
     for (const TeamStatistics &team : statistics.teams) {
-        const double error = team.due > 0.0 ? std::abs(team.share - team.due) / team.due : 0.0;
+        const double error =
+            team.fairShare > 0.0 ? std::abs(team.share - team.fairShare) / team.fairShare : 0.0;
         this->teamErrors[team.team] += error;
         sum += error;
     }
--- a/src/controller/operatorviews.cpp
+++ b/src/controller/operatorviews.cpp
@@ -212,7 +212,7 @@
             for (const TeamStatistics &figures : statistics.teams) {
                 if (figures.team != id)
                     continue;
-                summary.entitled = figures.due;
+                summary.entitled = figures.fairShare;
                 summary.inUse = figures.share;
             }
             list.teams.push_back(std::move(summary));
--- a/src/daemon/controllermetrics.cpp
+++ b/src/daemon/controllermetrics.cpp
@@ -46,7 +46,7 @@
 /// How far a team with waiting work is below what is due to it.
 double shareDistance(const TeamStatistics &team)
 {
-    return team.waiting > 0 ? std::max(0.0, team.due - team.share) : 0.0;
+    return team.waiting > 0 ? std::max(0.0, team.fairShare - team.share) : 0.0;
 }
 
 } // namespace
--- a/src/decisions/classpolicy.h
+++ b/src/decisions/classpolicy.h
@@ -16,7 +16,7 @@
     /// Tasks that may wait, per team; more are refused.
     std::uint32_t maxWaiting = 200000;
     /// How long its head may wait for room before room is made for it; zero: never made.
-    Milliseconds patience{0};
+    Milliseconds preemptionDelay{0};
 };
 
 } // namespace guavavalve
--- a/src/decisions/placer.cpp
+++ b/src/decisions/placer.cpp
@@ -209,7 +209,7 @@
     for (const Index index : team.ready[static_cast<std::size_t>(round)]) {
         const WorkQueue &queue = this->ledger.queues[index];
         const Instant due = this->ledger.tasks[queue.head].submittedAt
-            + this->ledger.policy.of(queue.key.workClass).patience;
+            + this->ledger.policy.of(queue.key.workClass).preemptionDelay;
         if (best == noIndex || due < bestDue) {
             best = index;
             bestDue = due;
--- a/src/decisions/replaybooks.cpp
+++ b/src/decisions/replaybooks.cpp
@@ -5,14 +5,14 @@
 
 namespace guavavalve::internal {
 
-void ReplayBooks::applyPolicy(const Policy &policy)
+void ReplayAccounting::applyPolicy(const Policy &policy)
 {
     this->limits.clear();
     for (const TeamPolicy &team : policy.teams)
         this->limits[team.team] = team.limit;
 }
 
-void ReplayBooks::submitted(const TaskRequest &task, Instant now)
+void ReplayAccounting::submitted(const TaskRequest &task, Instant now)
 {
     Entry &entry = this->tasks[task.id];
     entry.team = task.team;
@@ -22,15 +22,15 @@
     entry.submittedAt = now;
 }
 
-void ReplayBooks::restored(const TaskRequest &task, const Resources &charge, TargetId target,
-                           Instant now)
+void ReplayAccounting::restored(const TaskRequest &task, const Resources &charge, TargetId target,
+                                Instant now)
 {
     this->submitted(task, now);
     this->place(this->tasks[task.id], target, charge, now);
     this->tasks[task.id].started = true;
 }
 
-void ReplayBooks::released(TaskId task)
+void ReplayAccounting::released(TaskId task)
 {
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
@@ -41,7 +41,7 @@
     entry.target = TargetId::None;
 }
 
-void ReplayBooks::rejected(TaskId task)
+void ReplayAccounting::rejected(TaskId task)
 {
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
@@ -56,7 +56,7 @@
     }
 }
 
-void ReplayBooks::place(Entry &entry, TargetId target, const Resources &charge, Instant now)
+void ReplayAccounting::place(Entry &entry, TargetId target, const Resources &charge, Instant now)
 {
     entry.placedAt = now;
     entry.target = target;
@@ -65,7 +65,7 @@
     this->ofTeam[entry.team] += charge;
 }
 
-void ReplayBooks::decided(const Decision &decision, Instant now)
+void ReplayAccounting::decided(const Decision &decision, Instant now)
 {
     Entry &entry = this->tasks[decision.task];
     switch (decision.kind) {
@@ -95,7 +95,7 @@
     entry.started = true;
 }
 
-void ReplayBooks::report(std::map<std::string, double> &measures) const
+void ReplayAccounting::report(std::map<std::string, double> &measures) const
 {
     measures["placed"] = static_cast<double>(this->placed);
     measures["refused"] = static_cast<double>(this->refused);
--- a/src/decisions/replaybooks.h
+++ b/src/decisions/replaybooks.h
@@ -15,7 +15,7 @@
 
 /// Plain books that a replay keeps of its own, so that what a trace states is checked against
 /// something other than the scheduler's own figures.
-class ReplayBooks
+class ReplayAccounting
 {
 public:
     void applyPolicy(const Policy &policy);
--- a/src/decisions/replaytrace.cpp
+++ b/src/decisions/replaytrace.cpp
@@ -46,7 +46,7 @@
     bool applyTaskEvent(const std::string &name, const Json &line, Instant now);
 
     std::unique_ptr<Scheduler> scheduler;
-    ReplayBooks books;
+    ReplayAccounting books;
     ReplayReport report;
     std::uint64_t lineNumber = 0;
 };
@@ -183,7 +183,7 @@
     }
     double worst = 0.0;
     for (const TeamStatistics &team : statistics.teams)
-        worst = std::max(worst, std::abs(team.share - team.due));
+        worst = std::max(worst, std::abs(team.share - team.fairShare));
     std::map<std::string, double> &measures = this->report.measures;
     measures["running"] = running;
     measures["waiting"] = waiting;
--- a/src/decisions/reservations.cpp
+++ b/src/decisions/reservations.cpp
@@ -54,21 +54,22 @@
 
 double Reservations::urgency(const WorkQueue &queue, double mean, Instant now) const
 {
-    const Milliseconds patience = this->ledger.policy.of(queue.key.workClass).patience;
+    const Milliseconds preemptionDelay =
+        this->ledger.policy.of(queue.key.workClass).preemptionDelay;
     const TeamRecord &team = this->ledger.teams[queue.key.team];
     if (queue.reservation != noIndex || now - queue.reservationTriedAt < tryAgainAfter
-        || queue.key.workClass == WorkClass::Prompt || patience.count() == 0
+        || queue.key.workClass == WorkClass::Prompt || preemptionDelay.count() == 0
         || !this->ledger.withinLimit(team, queue.charge))
         return 0.0;
     const Microseconds waited = now - queue.blockedSince;
     // Whoever has waited this long gets its turn, whatever its team's share: or a large job of a
     // team that always has small work running would wait for ever.
-    if (waited >= patience * patiencesAboveShare) {
+    if (waited >= preemptionDelay * patiencesAboveShare) {
         return overdueUrgency
             + std::chrono::duration<double>(waited).count()
-            / std::chrono::duration<double>(patience).count();
+            / std::chrono::duration<double>(preemptionDelay).count();
     }
-    if (waited < std::min<Microseconds>(patience / reserveAfterPart, reserveAfterMost)
+    if (waited < std::min<Microseconds>(preemptionDelay / reserveAfterPart, reserveAfterMost)
         || team.rank > mean)
         return 0.0;
     return 1.0 + (mean - team.rank) / std::max(mean, 1e-12);
@@ -95,11 +96,12 @@
         if (reservation.queue == noIndex)
             continue;
         const WorkQueue &queue = this->ledger.queues[reservation.queue];
-        const Milliseconds patience = this->ledger.policy.of(queue.key.workClass).patience;
+        const Milliseconds preemptionDelay =
+            this->ledger.policy.of(queue.key.workClass).preemptionDelay;
         // Run times are often off, and a hold may have come to stand on a target since.
         const Instant dueAt =
             std::min<Instant>(reservation.readyAt, reservation.madeAt + longestBelief);
-        if (queue.count == 0 || now - dueAt > patience / replanAfterPart)
+        if (queue.count == 0 || now - dueAt > preemptionDelay / replanAfterPart)
             this->drop(reservation);
     }
     const std::size_t most = std::clamp<std::size_t>(
--- a/src/decisions/roommaker.cpp
+++ b/src/decisions/roommaker.cpp
@@ -134,8 +134,10 @@
 
 bool Preemptor::waitsTooLong(const WorkQueue &queue, Instant now) const
 {
-    const Microseconds patience = this->ledger.policy.of(queue.key.workClass).patience;
-    if (patience.count() == 0 || now - queue.roomAskedAt < std::max(patience, askAgainAfter))
+    const Microseconds preemptionDelay =
+        this->ledger.policy.of(queue.key.workClass).preemptionDelay;
+    if (preemptionDelay.count() == 0
+        || now - queue.roomAskedAt < std::max(preemptionDelay, askAgainAfter))
         return false;
     // A class that holds its part of the cell may not end the others' work for more: under a
     // steady overload of prompt work a gang would be ended each time soon after it has started.
@@ -144,7 +146,7 @@
     // Prompt work waits too long when its head does, even where others of its queue were placed.
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
     const Instant since = prompt ? this->ledger.tasks[queue.head].submittedAt : queue.blockedSince;
-    return now - since >= patience;
+    return now - since >= preemptionDelay;
 }
 
 void Preemptor::makeRoomFor(Index queueIndex, Instant now, std::vector<Decision> &out)
--- a/src/decisions/shardedscheduler.cpp
+++ b/src/decisions/shardedscheduler.cpp
@@ -406,7 +406,7 @@
             team.placed += entry.placed;
             team.running += entry.running;
             team.waiting += entry.waiting;
-            team.due += entry.due * weight;
+            team.fairShare += entry.fairShare * weight;
         }
     }
     const std::lock_guard<std::mutex> policyLock(this->policyMutex);
--- a/src/decisions/shares.cpp
+++ b/src/decisions/shares.cpp
@@ -96,7 +96,7 @@
     for (std::size_t i = 0; i < teams.size(); ++i) {
         TeamStatistics &entry = statistics.teams[i];
         entry.share = teams[i].placed.dominantShare(statistics.total);
-        entry.due = std::min(demands[i].share, demands[i].weight * level);
+        entry.fairShare = std::min(demands[i].share, demands[i].weight * level);
     }
 }
 
--- a/src/decisions/teamstatistics.h
+++ b/src/decisions/teamstatistics.h
@@ -12,7 +12,8 @@
 {
     TeamId team = TeamId::None;
     double share = 0.0; ///< dominant share of the fleet, 0 to 1
-    double due = 0.0; ///< dominant share that its weight entitles it to, given everyone's demand
+    double fairShare =
+        0.0; ///< dominant share that its weight entitles it to, given everyone's demand
     Resources placed;
     Resources limit;
     std::uint32_t running = 0; ///< tasks placed
--- a/src/decisions/tracecodec.cpp
+++ b/src/decisions/tracecodec.cpp
@@ -32,7 +32,7 @@
 Json toJson(const ClassPolicy &policy)
 {
     return Json::array(
-        {policy.preemptible, policy.maxShare, policy.maxWaiting, policy.patience.count()});
+        {policy.preemptible, policy.maxShare, policy.maxWaiting, policy.preemptionDelay.count()});
 }
 
 ClassPolicy classFrom(const Json &json)
@@ -41,7 +41,7 @@
     policy.preemptible = json.at(0).get<bool>();
     policy.maxShare = json.at(1).get<double>();
     policy.maxWaiting = json.at(2).get<std::uint32_t>();
-    policy.patience = Milliseconds(json.at(3).get<std::int64_t>());
+    policy.preemptionDelay = Milliseconds(json.at(3).get<std::int64_t>());
     return policy;
 }
 
--- a/test/decisions/checkedscheduler.h
+++ b/test/decisions/checkedscheduler.h
@@ -121,13 +121,13 @@
     std::map<TargetId, Resources> onTarget;
     std::map<TeamId, Resources> ofTeam;
     std::map<TeamId, Resources> limits;
-    std::string broken;
+    std::string violation;
 
 private:
     void breach(const std::string &text)
     {
-        if (this->broken.empty())
-            this->broken = text;
+        if (this->violation.empty())
+            this->violation = text;
     }
 
     void release(TaskId id)
--- a/test/decisions/failingtest.cpp
+++ b/test/decisions/failingtest.cpp
@@ -92,5 +92,5 @@
     cell.announce(2, 1);
     cell.run(std::chrono::seconds(2));
     CHECK(cell.targetOf(second) == TargetId(2));
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
--- a/test/decisions/gangtest.cpp
+++ b/test/decisions/gangtest.cpp
@@ -38,7 +38,7 @@
     }
     CHECK(gangPlaced);
     CHECK(smallPlaced > 100);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // One task of a running gang is lost with its target. The job is only of use whole: the others
@@ -58,7 +58,7 @@
     cell.announce(9, 1);
     cell.run(std::chrono::seconds(2));
     CHECK(cell.checked.placed.size() == 4);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 TEST_CASE("a task that is unlike its gang is refused", "[gang]")
--- a/test/decisions/prompttest.cpp
+++ b/test/decisions/prompttest.cpp
@@ -19,14 +19,14 @@
     const auto decisions = cell.run(std::chrono::seconds(1));
     CHECK(cell.isPlaced(prompt));
     CHECK(countOf(decisions, DecisionKind::Checkpoint) == 1);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // A target does not carry out a checkpoint. The room is asked for again, more firmly.
 TEST_CASE("a checkpoint that is not obeyed is followed by a stop", "[prompt]")
 {
     SmallCell cell(1, 1);
-    cell.obeys = false;
+    cell.targetsObeyStops = false;
     const TaskId batch = cell.submit(1, WorkClass::Batch, 8000);
     cell.decide();
     cell.submit(1, WorkClass::Prompt, 500);
--- a/test/decisions/propertytest.cpp
+++ b/test/decisions/propertytest.cpp
@@ -19,8 +19,8 @@
     RandomCell cell(scheduler, seed);
     for (int step = 0; step < stepCount; ++step) {
         cell.step();
-        INFO("seed " << seed << ", step " << step << ": " << cell.checked.broken);
-        REQUIRE(cell.checked.broken.empty());
+        INFO("seed " << seed << ", step " << step << ": " << cell.checked.violation);
+        REQUIRE(cell.checked.violation.empty());
         const Statistics statistics = scheduler.statistics();
         std::size_t running = 0;
         std::size_t waiting = 0;
--- a/test/decisions/queuetest.cpp
+++ b/test/decisions/queuetest.cpp
@@ -156,7 +156,7 @@
     for (int i = 0; i < 6; ++i)
         placeAndReport();
     CHECK(placeAndReport() >= 12);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // The controller dies. The next one rebuilds from what is replicated, and must neither start a
--- a/test/decisions/shardedtest.cpp
+++ b/test/decisions/shardedtest.cpp
@@ -47,8 +47,8 @@
             cell.step();
             if (step % 10 == 0)
                 scheduler.rebalance(cell.now);
-            INFO("seed " << seed << ", step " << step << ": " << cell.checked.broken);
-            REQUIRE(cell.checked.broken.empty());
+            INFO("seed " << seed << ", step " << step << ": " << cell.checked.violation);
+            REQUIRE(cell.checked.violation.empty());
         }
     }
 }
--- a/test/decisions/sharestest.cpp
+++ b/test/decisions/sharestest.cpp
@@ -23,7 +23,7 @@
     });
     CHECK(cell.share(1) == Approx(0.25).margin(0.03));
     CHECK(cell.share(2) == Approx(0.75).margin(0.03));
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // A team alone takes the whole cell. When the owner of the other half comes back with work, it
@@ -43,7 +43,7 @@
     CHECK(countOf(decisions, DecisionKind::Checkpoint) >= 28);
     // Taken back once, not to and fro.
     CHECK(countOf(decisions, DecisionKind::Checkpoint) <= 40);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // A change of configuration lowers a team's limit below what it runs. Nothing more may start, and
@@ -62,7 +62,7 @@
     CHECK(countOf(decisions, DecisionKind::Place) == 0);
     CHECK(cell.checked.placed.size() == 15);
     CHECK(cell.reasonOf(cell.checked.waiting.begin()->first) == Reason::TeamLimit);
-    CHECK(cell.checked.broken.empty());
+    CHECK(cell.checked.violation.empty());
 }
 
 // A job that is not repeatable must not be ended to make room, or its confirmation could be lost.
--- a/test/decisions/smallcell.h
+++ b/test/decisions/smallcell.h
@@ -89,7 +89,7 @@
                 each();
             for (const Decision &decision : this->decide()) {
                 all.push_back(decision);
-                if (this->obeys
+                if (this->targetsObeyStops
                     && (decision.kind == DecisionKind::Checkpoint
                         || decision.kind == DecisionKind::Stop))
                     this->checked.requeue(decision.task, AttemptOutcome::Stopped, this->now);
@@ -120,7 +120,7 @@
     CheckedScheduler checked;
     Policy policy;
     Instant now{std::chrono::seconds(100)};
-    bool obeys = true; ///< targets end what they are asked to end
+    bool targetsObeyStops = true; ///< targets end what they are asked to end
 
 private:
     std::uint64_t nextId = 1;
--- a/test/decisions/starvationtest.cpp
+++ b/test/decisions/starvationtest.cpp
@@ -113,6 +113,6 @@
         INFO("longest waits " << first.count() << " and " << overload.longestWait().count()
                               << " us, now " << overload.describeOldest());
         CHECK(overload.longestWait() < std::chrono::minutes(6));
-        CHECK(overload.cell.checked.broken.empty());
+        CHECK(overload.cell.checked.violation.empty());
     }
 }
