--- a/src/controller/cellcontrollersubmit.cpp
+++ b/src/controller/cellcontrollersubmit.cpp
@@ -54,7 +54,8 @@
         }
         Submitter submitter;
         submitter.team = team->id;
-        submitter.isResend = cluster.jobFor(team->id, request.idempotencyKey) != nullptr;
+        submitter.isResend =
+            cluster.jobByIdempotencyKey(team->id, request.idempotencyKey) != nullptr;
         submitter.startWithinMs = request.startWithinMs != 0
             ? request.startWithinMs
             : defaultStartWithinMs(cluster, request);
--- a/src/state/clusterstate.cpp
+++ b/src/state/clusterstate.cpp
@@ -87,7 +87,8 @@
     return found == this->teamsByName.end() ? nullptr : this->team(found->second);
 }
 
-const JobRecord *ClusterState::jobFor(TeamId team, const std::string &idempotencyKey) const
+const JobRecord *ClusterState::jobByIdempotencyKey(TeamId team,
+                                                   const std::string &idempotencyKey) const
 {
     const auto found = this->jobsByKey.find({team, idempotencyKey});
     return found == this->jobsByKey.end() ? nullptr : this->job(found->second);
--- a/src/state/clusterstate.h
+++ b/src/state/clusterstate.h
@@ -52,7 +52,7 @@
     const TeamRecord *team(TeamId id) const;
     const TeamRecord *teamNamed(const std::string &name) const;
     /// The job that \a team has accepted under \a idempotencyKey.
-    const JobRecord *jobFor(TeamId team, const std::string &idempotencyKey) const;
+    const JobRecord *jobByIdempotencyKey(TeamId team, const std::string &idempotencyKey) const;
 
     /// The most that \a team may have running: its configured limit.
     Resources limitOf(TeamId team) const;
--- a/src/state/jobcommands.cpp
+++ b/src/state/jobcommands.cpp
@@ -62,7 +62,7 @@
         return failure(ErrorCode::Unauthenticated,
                        "key " + internal::quoted(command.keyId)
                            + " is unknown, withdrawn or not this team's");
-    if (const JobRecord *first = this->jobFor(command.team, command.idempotencyKey)) {
+    if (const JobRecord *first = this->jobByIdempotencyKey(command.team, command.idempotencyKey)) {
         if (first->digest != command.digest)
             return failure(ErrorCode::Conflict,
                            "idempotency key " + internal::quoted(command.idempotencyKey)
--- a/test/state/jobstest.cpp
+++ b/test/state/jobstest.cpp
@@ -220,7 +220,7 @@
     forget.jobs = {cancel.job};
     REQUIRE(fixture.state.apply(forget).has_value());
     CHECK(fixture.state.jobs().empty());
-    CHECK(fixture.state.jobFor(job.team, "two") == nullptr);
+    CHECK(fixture.state.jobByIdempotencyKey(job.team, "two") == nullptr);
 }
 
 TEST_CASE("a job refused after its acceptance says why and that it has not run", "[state]")
--- a/test/state/propertytest.cpp
+++ b/test/state/propertytest.cpp
@@ -220,7 +220,8 @@
 
     void observe(const AcceptJob &command)
     {
-        const JobRecord *job = this->state().jobFor(command.team, command.idempotencyKey);
+        const JobRecord *job =
+            this->state().jobByIdempotencyKey(command.team, command.idempotencyKey);
         REQUIRE(job != nullptr);
         REQUIRE(job->digest == command.digest);
         if (job->id != command.first)
