--- a/src/workflows/book.cpp
+++ b/src/workflows/book.cpp
@@ -56,7 +56,7 @@
     if (format >= formatWithEvacuations)
         archive(this->evacuated);
     if (format >= formatWithLosses)
-        archive(this->lossLedger, this->resizedBy);
+        archive(this->lossTracker, this->resizedBy);
 }
 
 CommandOutcomes Book::apply(const CommandBatch &batch)
@@ -141,7 +141,7 @@
                            return placement.index < progress.tasks.size()
                                && progress.tasks[placement.index].phase == TaskPhase::Waiting
                                && progress.tasks[placement.index].run < command.run
-                               && this->lossLedger.mayStart({step, placement.index})
+                               && this->lossTracker.mayStart({step, placement.index})
                                && life != nullptr && this->takesWork(*life);
                        })
         && this->hasRoom(workflow, command);
@@ -222,9 +222,9 @@
 {
     const bool isEarly = end.outcome == RunOutcome::LostEarly;
     if (spec.lasting && !isEarly)
-        this->lossLedger.forget(end.task);
+        this->lossTracker.forget(end.task);
     else
-        this->lossLedger.lost(life, end.task, isEarly);
+        this->lossTracker.lost(life, end.task, isEarly);
 }
 
 /// Takes a run from its target's room and its account's total; the task waits again.
@@ -262,7 +262,7 @@
         if (task.phase == TaskPhase::Placed)
             this->release(workflow, {address.step, static_cast<std::uint16_t>(i)});
         task.phase = TaskPhase::Succeeded;
-        this->lossLedger.forget({address.step, static_cast<std::uint16_t>(i)});
+        this->lossTracker.forget({address.step, static_cast<std::uint16_t>(i)});
         ++progress.succeeded;
     }
     if (progress.isDone())
@@ -298,7 +298,7 @@
         return;
     if (workflow.endedAtMs == 0)
         workflow.endedAtMs = atMs;
-    this->lossLedger.forget(workflow.spec.id);
+    this->lossTracker.forget(workflow.spec.id);
     if (workflow.placed > 0)
         return;
     this->liveIds.erase(workflow.spec.id);
@@ -327,7 +327,7 @@
         return CommandOutcome::Unchanged;
     if (!found->second.placed.empty())
         return CommandOutcome::Rejected;
-    this->lossLedger.survived(command.life);
+    this->lossTracker.survived(command.life);
     const auto name = this->newest.find(found->second.identity.name);
     if (name != this->newest.end() && name->second == command.life)
         this->newest.erase(name);
@@ -339,14 +339,14 @@
 /// What drains ends soon in any case: its end is no crash.
 CommandOutcome Book::on(const CrashLife &command)
 {
-    if (!this->lossLedger.hasOpen(command.life))
+    if (!this->lossTracker.hasOpen(command.life))
         return CommandOutcome::Unchanged;
     const LifeRecord *life = this->find(command.life);
     if (life != nullptr && life->isDraining) {
-        this->lossLedger.survived(command.life);
+        this->lossTracker.survived(command.life);
         return CommandOutcome::Applied;
     }
-    for (const TaskAddress &task : this->lossLedger.crashed(command.life))
+    for (const TaskAddress &task : this->lossTracker.crashed(command.life))
         this->giveUp(task, command.atMs);
     return CommandOutcome::Applied;
 }
@@ -367,9 +367,9 @@
 
 CommandOutcome Book::on(const ReviveLife &command)
 {
-    if (!this->lossLedger.hasOpen(command.life))
+    if (!this->lossTracker.hasOpen(command.life))
         return CommandOutcome::Unchanged;
-    this->lossLedger.survived(command.life);
+    this->lossTracker.survived(command.life);
     return CommandOutcome::Applied;
 }
 
--- a/src/workflows/book.h
+++ b/src/workflows/book.h
@@ -32,7 +32,7 @@
     /// Failure domains whose targets are given nothing new.
     const std::set<std::string> &evacuatedDomains() const { return this->evacuated; }
     /// Targets that were lost with tasks on them.
-    const LossLedger &losses() const { return this->lossLedger; }
+    const TargetLossTracker &losses() const { return this->lossTracker; }
     std::int64_t documentVersion() const { return this->version; }
     const std::string &document() const { return this->text; }
 
@@ -90,7 +90,7 @@
     std::int64_t version = 0;
     std::string text;
     std::set<std::string> evacuated; ///< failure domains
-    LossLedger lossLedger;
+    TargetLossTracker lossTracker;
     std::map<LifeNumber, std::uint64_t> resizedBy; ///< sequence of the report that changed its room
 };
 
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -198,7 +198,7 @@
     AdmissionTable admissions;
     AdmittedParts admittedParts;
     ClaimTable claims;
-    WaitLedger waits;
+    WaitTimeTracker waits;
     std::map<StepAddress, Instant> orphansSince; ///< gangs that have lost members
     Policy inForce;
     std::int64_t policyVersion = -1;
--- a/src/workflows/lossledger.cpp
+++ b/src/workflows/lossledger.cpp
@@ -5,7 +5,7 @@
 
 namespace guavavalve::workflows {
 
-void LossLedger::lost(LifeNumber life, const TaskAddress &task, bool isEarly)
+void TargetLossTracker::lost(LifeNumber life, const TaskAddress &task, bool isEarly)
 {
     std::vector<Loss> &losses = this->open[life];
     LossCount &count = this->counts[task];
@@ -23,7 +23,7 @@
 
 /// Takes the open losses of a life from the counts of their tasks. Tasks that were forgotten
 /// meanwhile are left out.
-std::vector<LossLedger::Loss> LossLedger::close(LifeNumber life)
+std::vector<TargetLossTracker::Loss> TargetLossTracker::close(LifeNumber life)
 {
     std::vector<Loss> closed;
     const auto found = this->open.find(life);
@@ -41,7 +41,7 @@
     return closed;
 }
 
-std::vector<TaskAddress> LossLedger::crashed(LifeNumber life)
+std::vector<TaskAddress> TargetLossTracker::crashed(LifeNumber life)
 {
     const std::vector<Loss> losses = this->close(life);
     std::uint16_t mostBefore = 0;
@@ -60,7 +60,7 @@
     return hopeless;
 }
 
-void LossLedger::survived(LifeNumber life)
+void TargetLossTracker::survived(LifeNumber life)
 {
     for (const Loss &loss : this->close(life)) {
         const auto count = this->counts.find(loss.task);
@@ -69,7 +69,7 @@
     }
 }
 
-void LossLedger::forget(const TaskAddress &task)
+void TargetLossTracker::forget(const TaskAddress &task)
 {
     if (this->counts.erase(task) == 0)
         return;
@@ -82,7 +82,7 @@
     }
 }
 
-void LossLedger::forget(WorkflowId workflow)
+void TargetLossTracker::forget(WorkflowId workflow)
 {
     for (auto count = this->counts.lower_bound({{workflow, 0, 0}, 0});
          count != this->counts.end() && count->first.step.workflow == workflow;
@@ -90,7 +90,7 @@
         this->forget(TaskAddress(count->first));
 }
 
-std::vector<TaskAddress> LossLedger::lostWith(LifeNumber life) const
+std::vector<TaskAddress> TargetLossTracker::lostWith(LifeNumber life) const
 {
     std::vector<TaskAddress> tasks;
     const auto found = this->open.find(life);
@@ -101,20 +101,20 @@
     return tasks;
 }
 
-LossCount LossLedger::count(const TaskAddress &task) const
+LossCount TargetLossTracker::count(const TaskAddress &task) const
 {
     const auto found = this->counts.find(task);
     return found == this->counts.end() ? LossCount{} : found->second;
 }
 
-bool LossLedger::mayStart(const TaskAddress &task) const
+bool TargetLossTracker::mayStart(const TaskAddress &task) const
 {
     const LossCount count = this->count(task);
     return count.crashes + count.open < static_cast<int>(mostCrashes)
         && count.earlyCrashes + count.earlyOpen < static_cast<int>(mostEarlyCrashes);
 }
 
-bool LossLedger::isSuspect(const TaskAddress &task) const
+bool TargetLossTracker::isSuspect(const TaskAddress &task) const
 {
     const LossCount count = this->count(task);
     return count.earlyCrashes + count.earlyOpen > 0;
--- a/src/workflows/lossledger.h
+++ b/src/workflows/lossledger.h
@@ -19,7 +19,7 @@
 /// task; one in the middle of a run may have any reason and weighs less. A task that has crashed
 /// too many targets is to be given up, and one that may have is not started before that is known.
 /// If several tasks had just begun on a target, those with the most such crashes before are blamed.
-class LossLedger
+class TargetLossTracker
 {
 public:
     /// Crashes soon after the start that a task is given up for.
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -129,7 +129,7 @@
     /// False while it is not known how many targets the task has crashed.
     bool mayStart(const ReadyStep &step, std::size_t index) const
     {
-        const LossLedger &losses = this->input.book.losses();
+        const TargetLossTracker &losses = this->input.book.losses();
         return losses.isEmpty()
             || losses.mayStart({step.address, static_cast<std::uint16_t>(index)});
     }
--- a/src/workflows/waitledger.cpp
+++ b/src/workflows/waitledger.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void WaitLedger::planned(const std::vector<WaitingStep> &waiting, Instant now)
+void WaitTimeTracker::planned(const std::vector<WaitingStep> &waiting, Instant now)
 {
     for (auto &[step, wait] : this->waits) {
         if (wait.isWaiting)
@@ -27,7 +27,7 @@
     }
 }
 
-WaitTimes WaitLedger::times(const StepAddress &step, Instant now) const
+WaitTimes WaitTimeTracker::times(const StepAddress &step, Instant now) const
 {
     const auto found = this->waits.find(step);
     if (found == this->waits.end())
@@ -38,7 +38,7 @@
     return times;
 }
 
-void WaitLedger::dropOld(Instant now)
+void WaitTimeTracker::dropOld(Instant now)
 {
     for (auto wait = this->waits.begin(); wait != this->waits.end();) {
         const bool isOld = !wait->second.isWaiting && wait->second.since + keepFor < now;
--- a/src/workflows/waitledger.h
+++ b/src/workflows/waitledger.h
@@ -15,7 +15,7 @@
 
 /// Adds up what each waiting step has waited for, from plan to plan. Its figures begin with the
 /// controller. Pure; not thread-safe.
-class WaitLedger
+class WaitTimeTracker
 {
 public:
     /// A plan has left \a waiting without places; other steps wait for nothing now.
--- a/test/workflows/crashingtasktest.cpp
+++ b/test/workflows/crashingtasktest.cpp
@@ -100,7 +100,7 @@
     this->fleet.crashing.clear();
     this->submit(job, {BookFixture::step(1)});
     LifeNumber cutOff = LifeNumber::None;
-    for (unsigned cuts = 0; cuts < LossLedger::mostEarlyCrashes;) {
+    for (unsigned cuts = 0; cuts < TargetLossTracker::mostEarlyCrashes;) {
         this->runFor(Milliseconds(50));
         const TaskProgress task = this->machine.read([](const Book &book) {
             return *book.find(job)->task({{job, 0, 0}, 0});
@@ -164,7 +164,7 @@
         if (number % crashingOneIn == 1)
             CHECK(isGivenUp);
         if (isGivenUp)
-            CHECK(simulation.fleet.crashesUnder(id) >= LossLedger::mostEarlyCrashes);
+            CHECK(simulation.fleet.crashesUnder(id) >= TargetLossTracker::mostEarlyCrashes);
     }
 }
 
--- a/test/workflows/lossledgertest.cpp
+++ b/test/workflows/lossledgertest.cpp
@@ -29,8 +29,8 @@
 TEST_CASE("a task is given up once enough targets have crashed soon after they began it",
           "[losses]")
 {
-    LossLedger losses;
-    for (unsigned i = 1; i < LossLedger::mostEarlyCrashes; ++i) {
+    TargetLossTracker losses;
+    for (unsigned i = 1; i < TargetLossTracker::mostEarlyCrashes; ++i) {
         losses.lost(life(i), task, true);
         CHECK(losses.crashed(life(i)).empty());
     }
@@ -40,8 +40,8 @@
 
 TEST_CASE("crashes in the middle of a run weigh less", "[losses]")
 {
-    LossLedger losses;
-    for (unsigned i = 1; i < LossLedger::mostCrashes; ++i) {
+    TargetLossTracker losses;
+    for (unsigned i = 1; i < TargetLossTracker::mostCrashes; ++i) {
         losses.lost(life(i), task, false);
         CHECK(losses.crashed(life(i)).empty());
     }
@@ -51,7 +51,7 @@
 
 TEST_CASE("a target that goes on has not crashed", "[losses]")
 {
-    LossLedger losses;
+    TargetLossTracker losses;
     losses.lost(life(1), task, true);
     CHECK(losses.isSuspect(task));
     losses.survived(life(1));
@@ -62,7 +62,7 @@
 
 TEST_CASE("a task that one life was lost with twice counts once", "[losses]")
 {
-    LossLedger losses;
+    TargetLossTracker losses;
     losses.lost(life(1), task, false);
     losses.lost(life(1), task, true);
     CHECK(losses.count(task).open == 1);
@@ -82,8 +82,8 @@
 
 TEST_CASE("a task is not started while its last chance may be spent", "[losses]")
 {
-    LossLedger losses;
-    for (unsigned i = 1; i <= LossLedger::mostEarlyCrashes; ++i)
+    TargetLossTracker losses;
+    for (unsigned i = 1; i <= TargetLossTracker::mostEarlyCrashes; ++i)
         losses.lost(life(i), task, true);
     CHECK_FALSE(losses.mayStart(task));
     losses.crashed(life(1));
@@ -95,7 +95,7 @@
 TEST_CASE("of tasks that had just begun the one with the most crashes before is blamed", "[losses]")
 {
     const TaskAddress neighbour{{static_cast<WorkflowId>(8), 0, 0}, 0};
-    LossLedger losses;
+    TargetLossTracker losses;
     losses.lost(life(1), task, true);
     losses.crashed(life(1));
     losses.lost(life(2), task, true);
@@ -108,7 +108,7 @@
 
 TEST_CASE("what is forgotten of a workflow is forgotten of its tasks alone", "[losses]")
 {
-    LossLedger losses;
+    TargetLossTracker losses;
     const TaskAddress other{{static_cast<WorkflowId>(8), 0, 0}, 0};
     losses.lost(life(1), task, true);
     losses.lost(life(1), other, true);
@@ -122,7 +122,7 @@
 {
     BookFixture f(3);
     f.accept({f.step(1)});
-    for (unsigned i = 1; i <= LossLedger::mostEarlyCrashes; ++i)
+    for (unsigned i = 1; i <= TargetLossTracker::mostEarlyCrashes; ++i)
         crashUnder(f, i, i, RunOutcome::LostEarly);
     CHECK(f.workflow().state() == WorkflowState::Failed);
     CHECK(f.book.losses().isEmpty());
@@ -131,9 +131,9 @@
 TEST_CASE("an earlier controller's placement of a task at its last chance is rejected",
           "[losses][book]")
 {
-    BookFixture f(LossLedger::mostEarlyCrashes + 1);
+    BookFixture f(TargetLossTracker::mostEarlyCrashes + 1);
     f.accept({f.step(1)});
-    for (unsigned i = 1; i <= LossLedger::mostEarlyCrashes; ++i) {
+    for (unsigned i = 1; i <= TargetLossTracker::mostEarlyCrashes; ++i) {
         REQUIRE(f.place(0, i, {i}) == CommandOutcome::Applied);
         f.end(0, 0, i, RunOutcome::LostEarly);
     }
@@ -192,11 +192,11 @@
 TEST_CASE("a lasting task is given up only if it crashes its targets at once", "[losses][book]")
 {
     const bool isEarly = GENERATE(false, true);
-    BookFixture f(2 * LossLedger::mostCrashes);
+    BookFixture f(2 * TargetLossTracker::mostCrashes);
     StepSpec lasting = f.step(1);
     lasting.lasting = true;
     f.accept({lasting});
-    for (unsigned i = 1; i <= 2 * LossLedger::mostCrashes && !f.workflow().isOver(); ++i)
+    for (unsigned i = 1; i <= 2 * TargetLossTracker::mostCrashes && !f.workflow().isOver(); ++i)
         crashUnder(f, i, i, isEarly ? RunOutcome::LostEarly : RunOutcome::Lost);
     CHECK(f.workflow().isOver() == isEarly);
 }
@@ -219,7 +219,7 @@
 {
     PlanFixture f(4);
     f.accept({f.step(2)});
-    for (unsigned i = 1; i <= LossLedger::mostEarlyCrashes; ++i) {
+    for (unsigned i = 1; i <= TargetLossTracker::mostEarlyCrashes; ++i) {
         f.place(0, i, {i});
         f.end(0, 0, i, RunOutcome::LostEarly);
     }
--- a/test/workflows/waitledgertest.cpp
+++ b/test/workflows/waitledgertest.cpp
@@ -20,7 +20,7 @@
 
 TEST_CASE("a step's waits add up by cause from plan to plan", "[waits]")
 {
-    WaitLedger ledger;
+    WaitTimeTracker ledger;
     ledger.planned({{step, WaitCause::Admission}}, start);
     ledger.planned({{step, WaitCause::Room}}, start + Milliseconds(400));
     const WaitTimes times = ledger.times(step, start + Milliseconds(1000));
@@ -33,7 +33,7 @@
 
 TEST_CASE("steps that wait no more are forgotten", "[waits]")
 {
-    WaitLedger ledger;
+    WaitTimeTracker ledger;
     ledger.planned({{step, WaitCause::Room}}, start);
     ledger.planned({}, start + Milliseconds(100));
     ledger.dropOld(start + Milliseconds(1000));
