--- a/src/workflows/admissionport.h
+++ b/src/workflows/admissionport.h
@@ -21,7 +21,7 @@
     using Admitted = std::vector<std::pair<std::string, std::string>>;
 
     /// Instances that may be asked to put a question, each of which has one answered at a time.
-    virtual std::size_t askers() const = 0;
+    virtual std::size_t querierCount() const = 0;
 
     /// \a expected: what the service takes for this question once its turn has come.
     virtual void ask(const StepAddress &step, const std::vector<std::string> &targets,
--- a/src/workflows/admissions.h
+++ b/src/workflows/admissions.h
@@ -25,7 +25,7 @@
     std::map<LifeNumber, Admission> admitted;
     std::set<LifeNumber> refused;
     std::set<LifeNumber> asked; ///< targets that questions under way name
-    Instant nextQuestionAt{}; ///< not before, after one that failed
+    Instant nextQueryAt{}; ///< not before, after one that failed
 
     const Admission *valid(LifeNumber life, Instant now) const
     {
@@ -38,7 +38,7 @@
 using AdmissionTable = std::map<StepAddress, StepAdmissions>;
 
 /// Part of the targets asked about that were admitted, over the newest questions.
-class AdmittedPart
+class AdmittedFraction
 {
 public:
     void answered(std::size_t asked, std::size_t admitted)
@@ -60,6 +60,6 @@
     bool hasAny = false;
 };
 
-using AdmittedParts = std::map<std::string, AdmittedPart>; ///< by queue
+using AdmittedFractions = std::map<std::string, AdmittedFraction>; ///< by queue
 
 } // namespace guavavalve::workflows
--- a/src/workflows/askerpool.cpp
+++ b/src/workflows/askerpool.cpp
@@ -43,21 +43,21 @@
 /// Guards against an instance that is gone or stands still while it is still held for present: a
 /// new controller had fifteen steps asked about by its predecessor, which had been frozen, and each
 /// waited 0.6 s for an answer that could not come.
-bool AskerPool::mayAsk(const Load &load, Instant now)
+bool AdmissionQueryBalancer::mayAsk(const Load &load, Instant now)
 {
     const std::size_t most = load.hasAnswered ? maxUnderWay : maxUnproved;
     const bool isOverdue = load.underWay > 0 && now > load.busyUntil + overdueAfter;
     return load.underWay < most && !isOverdue && load.busyUntil <= now + longestQueue;
 }
 
-std::optional<InstanceId> AskerPool::choose(const std::vector<InstanceId> &instances,
-                                            Milliseconds expected, Instant now)
+std::optional<InstanceId> AdmissionQueryBalancer::choose(const std::vector<InstanceId> &instances,
+                                                         Milliseconds expected, Instant now)
 {
     std::optional<InstanceId> best;
     Instant bestFreeAt{};
     for (std::size_t i = keptFrom(expected, instances.size()); i < instances.size(); ++i) {
         const Load &load = this->loads[instances[i]];
-        if (!AskerPool::mayAsk(load, now))
+        if (!AdmissionQueryBalancer::mayAsk(load, now))
             continue;
         const Instant freeAt = std::max(now, load.busyUntil);
         if (!best || freeAt < bestFreeAt) {
@@ -73,13 +73,13 @@
     return best;
 }
 
-Instant AskerPool::busyUntil(const InstanceId &instance) const
+Instant AdmissionQueryBalancer::busyUntil(const InstanceId &instance) const
 {
     const auto found = this->loads.find(instance);
     return found == this->loads.end() ? Instant{} : found->second.busyUntil;
 }
 
-void AskerPool::answered(const InstanceId &instance, bool hasFailed, Instant now)
+void AdmissionQueryBalancer::answered(const InstanceId &instance, bool hasFailed, Instant now)
 {
     Load &load = this->loads[instance];
     load.underWay -= load.underWay > 0 ? 1 : 0;
--- a/src/workflows/askerpool.h
+++ b/src/workflows/askerpool.h
@@ -16,7 +16,7 @@
 /// A question goes to the instance whose questions will be answered first. Longer questions stay
 /// away from the first few instances in the list. An instance that has not answered yet is tried
 /// with two questions, and one whose answer is overdue gets no more until it comes.
-class AskerPool
+class AdmissionQueryBalancer
 {
 public:
     /// One of \a instances, for a question that takes \a expected once its turn has come; it counts
--- a/src/workflows/book.cpp
+++ b/src/workflows/book.cpp
@@ -221,7 +221,7 @@
 void Book::lose(const StepSpec &spec, const RunEnd &end, LifeNumber life)
 {
     const bool isEarly = end.outcome == RunOutcome::LostEarly;
-    if (spec.lasting && !isEarly)
+    if (spec.longRunning && !isEarly)
         this->lossTracker.forget(end.task);
     else
         this->lossTracker.lost(life, end.task, isEarly);
@@ -250,7 +250,7 @@
 void Book::succeed(Workflow &workflow, const TaskAddress &address)
 {
     const StepSpec &spec = workflow.spec.steps[address.step.step];
-    if (spec.lasting)
+    if (spec.longRunning)
         return;
     StepProgress &progress = workflow.step(address.step);
     const RunNumber run = progress.tasks[address.index].run;
@@ -275,7 +275,7 @@
     const StepSpec &spec = workflow.spec.steps[end.task.step.step];
     StepProgress &progress = workflow.step(end.task.step);
     TaskProgress &task = progress.tasks[end.task.index];
-    if (spec.lasting)
+    if (spec.longRunning)
         return;
     if (spec.gang) {
         if (progress.gangFailedRun != end.run) {
--- a/src/workflows/controller.cpp
+++ b/src/workflows/controller.cpp
@@ -62,11 +62,11 @@
     this->health.clear();
     this->movesOf.clear();
     this->admissions.clear();
-    this->admittedParts.clear();
+    this->admittedFractions.clear();
     this->claims.clear();
     this->waits.clear();
     this->orphansSince.clear();
-    this->openQuestions = 0;
+    this->openQueries = 0;
     for (Pending &waiting : std::exchange(this->pending, {})) {
         if (waiting.done)
             waiting.done(this->notLeading());
@@ -100,11 +100,11 @@
         return;
     auto read = this->options.readPolicy(document);
     if (!read) {
-        logDocumentUnreadable(version, read.error());
+        logConfigurationUnreadable(version, read.error());
         return;
     }
     this->inForce = std::move(read).value();
-    logDocumentInForce(version, this->inForce);
+    logConfigurationInForce(version, this->inForce);
     this->needsPlan = true;
 }
 
@@ -302,8 +302,8 @@
         if (onProbation && !record->placed.empty())
             continue;
         open.push_back({life, &record->identity, record->identity.capacity - record->used,
-                        onProbation && !this->health.hasWaited(life, now), state.session->isCold(),
-                        record->placed.size()});
+                        onProbation && !this->health.hasProbationExpired(life, now),
+                        state.session->isCold(), record->placed.size()});
     }
     return open;
 }
@@ -313,7 +313,8 @@
     const Plan made = this->machine.read([&](const Book &book) {
         return makePlan({book, this->inForce, this->admissions, this->claims,
                          this->openTargets(book), this->options.clock(), this->options.calendarMs(),
-                         &this->admittedParts, this->admissionPort.askers(), this->openQuestions});
+                         &this->admittedFractions, this->admissionPort.querierCount(),
+                         this->openQueries});
     });
     for (const PlaceRuns &command : made.placements) {
         batch.push_back({command, [this, command](const Result<CommandOutcome> &outcome) {
@@ -321,8 +322,8 @@
                                  this->placed(command, outcome.value());
                          }});
     }
-    for (const AdmissionQuestion &question : made.questions)
-        this->ask(question);
+    for (const AdmissionQuery &query : made.queries)
+        this->ask(query);
     const Instant now = this->options.clock();
     this->waits.planned(made.waiting, now);
     if (now < this->nextPlanLog)
@@ -330,7 +331,7 @@
     this->nextPlanLog = now + planLogInterval;
     const std::size_t live =
         this->machine.read([](const Book &book) { return book.live().size(); });
-    logPlan(made.summary, this->openQuestions, live);
+    logPlan(made.summary, this->openQueries, live);
 }
 
 /// Sends the starts of a placement that has been stored.
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -122,7 +122,7 @@
     {
         std::shared_ptr<TargetSession> session;
         std::uint64_t sequence = 0; ///< of the newest report
-        ProgressWatch progress;
+        ProgressMonitor progress;
     };
 
     void add(Command command, Done<CommandOutcome> done);
@@ -145,8 +145,8 @@
     void takeReport(LifeNumber life, const TargetReport &report, const Done<Nothing> &done);
     void setDraining(LifeNumber life, bool isDraining, const Done<Nothing> &done);
     void domainChanged(const std::string &failureDomain, bool isEvacuated, CommandOutcome outcome);
-    void ask(const AdmissionQuestion &question);
-    void answered(const AdmissionQuestion &question, Instant askedAt,
+    void ask(const AdmissionQuery &query);
+    void answered(const AdmissionQuery &query, Instant askedAt,
                   const Result<AdmissionPort::Admitted> &answer);
 
     TargetSession &openSession(LifeNumber life, const LifeRecord &record);
@@ -163,7 +163,7 @@
     void stopOrphans();
     void runsListed(LifeNumber life, const std::vector<RunningTask> &running);
     std::vector<ExpectedRun> expectedOf(const std::vector<RunningTask> &running) const;
-    void moveStalled(LifeNumber life, const ProgressWatch &progress);
+    void moveStalled(LifeNumber life, const ProgressMonitor &progress);
     void refreshPolicy();
     void tick(std::uint64_t inTerm);
     void forgetOld();
@@ -196,7 +196,7 @@
     TargetHealth health;
     std::map<TaskAddress, unsigned> movesOf; ///< runs stopped because their target had stalled
     AdmissionTable admissions;
-    AdmittedParts admittedParts;
+    AdmittedFractions admittedFractions;
     ClaimTable claims;
     WaitTimeTracker waits;
     std::map<StepAddress, Instant> orphansSince; ///< gangs that have lost members
@@ -204,7 +204,7 @@
     std::int64_t policyVersion = -1;
     Instant nextForget{};
     Instant nextPlanLog{};
-    std::size_t openQuestions = 0;
+    std::size_t openQueries = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/workflows/controlleradmissions.cpp
+++ b/src/workflows/controlleradmissions.cpp
@@ -24,74 +24,74 @@
 
 } // namespace
 
-void Controller::ask(const AdmissionQuestion &question)
+void Controller::ask(const AdmissionQuery &query)
 {
     std::vector<std::string> names;
     double expectedMs = 0.0;
     this->machine.read([&](const Book &book) {
-        const QueuePolicy *queue = this->queueOf(question.step.workflow, book);
+        const QueuePolicy *queue = this->queueOf(query.step.workflow, book);
         if (queue != nullptr) {
-            expectedMs = queue->adviceMs
-                + queue->adviceMsPerTarget * static_cast<double>(question.targets.size());
+            expectedMs = queue->queryBaseMs
+                + queue->queryMsPerTarget * static_cast<double>(query.targets.size());
         }
-        for (const LifeNumber life : question.targets) {
+        for (const LifeNumber life : query.targets) {
             if (const LifeRecord *record = book.find(life))
                 names.push_back(record->identity.name);
         }
     });
-    std::set<LifeNumber> &asked = this->admissions[question.step].asked;
+    std::set<LifeNumber> &asked = this->admissions[query.step].asked;
     if (asked.empty())
-        this->claims.erase(question.step); // of an earlier round
-    asked.insert(question.targets.begin(), question.targets.end());
-    if (!question.claim.empty()) {
-        Claim &claim = this->claims[question.step];
-        claim.tasks.insert(question.claim.begin(), question.claim.end());
+        this->claims.erase(query.step); // of an earlier round
+    asked.insert(query.targets.begin(), query.targets.end());
+    if (!query.claim.empty()) {
+        Claim &claim = this->claims[query.step];
+        claim.tasks.insert(query.claim.begin(), query.claim.end());
         claim.until = this->options.clock() + claimLimit;
     }
-    ++this->openQuestions;
+    ++this->openQueries;
     this->admissionPort.ask(
-        question.step, names, Milliseconds(static_cast<std::int64_t>(expectedMs)),
+        query.step, names, Milliseconds(static_cast<std::int64_t>(expectedMs)),
         this->options.clock() + adviceLimit,
-        [this, alive = this->alive, inTerm = this->term, question,
+        [this, alive = this->alive, inTerm = this->term, query,
          now = this->options.clock()](const Result<AdmissionPort::Admitted> &answer) {
             if (*alive && this->leads && this->term == inTerm)
-                this->answered(question, now, answer);
+                this->answered(query, now, answer);
         });
 }
 
-void Controller::answered(const AdmissionQuestion &question, Instant askedAt,
+void Controller::answered(const AdmissionQuery &query, Instant askedAt,
                           const Result<AdmissionPort::Admitted> &answer)
 {
-    --this->openQuestions;
+    --this->openQueries;
     const Instant now = this->options.clock();
-    this->metrics.advised(std::chrono::duration_cast<Milliseconds>(now - askedAt),
-                          answer.has_value());
-    const auto found = this->admissions.find(question.step);
+    this->metrics.admissionAnswered(std::chrono::duration_cast<Milliseconds>(now - askedAt),
+                                    answer.has_value());
+    const auto found = this->admissions.find(query.step);
     if (found == this->admissions.end())
         return;
     StepAdmissions &known = found->second;
     const bool isExploring =
-        std::none_of(question.targets.begin(), question.targets.end(),
+        std::none_of(query.targets.begin(), query.targets.end(),
                      [&known](LifeNumber life) { return known.admitted.count(life) != 0; });
-    for (const LifeNumber life : question.targets)
+    for (const LifeNumber life : query.targets)
         known.asked.erase(life);
     if (!answer) {
-        known.nextQuestionAt = now + adviceRetryPause;
-        this->claims.erase(question.step);
-        logAdviceFailed(question.step, answer.error());
+        known.nextQueryAt = now + adviceRetryPause;
+        this->claims.erase(query.step);
+        logAdmissionFailed(query.step, answer.error());
         return;
     }
     this->machine.read([&](const Book &book) {
-        const QueuePolicy *queue = this->queueOf(question.step.workflow, book);
+        const QueuePolicy *queue = this->queueOf(query.step.workflow, book);
         if (queue == nullptr)
             return;
         const std::map<std::string, std::string> tickets(answer.value().begin(),
                                                          answer.value().end());
         if (isExploring) {
-            const std::string &name = book.find(question.step.workflow)->spec.queue;
-            this->admittedParts[name].answered(question.targets.size(), tickets.size());
+            const std::string &name = book.find(query.step.workflow)->spec.queue;
+            this->admittedFractions[name].answered(query.targets.size(), tickets.size());
         }
-        for (const LifeNumber life : question.targets) {
+        for (const LifeNumber life : query.targets) {
             const LifeRecord *record = book.find(life);
             const auto ticket =
                 record == nullptr ? tickets.end() : tickets.find(record->identity.name);
@@ -100,10 +100,10 @@
                 continue;
             }
             known.admitted[life] = {ticket->second,
-                                    now + Milliseconds(queue->adviceValidMs) - ticketAge};
+                                    now + Milliseconds(queue->admissionValidMs) - ticketAge};
         }
     });
-    logAdvised(question.step, question.targets.size(), answer.value().size());
+    logAdmissionAnswered(query.step, query.targets.size(), answer.value().size());
     this->needsPlan = true;
     this->flush();
 }
--- a/src/workflows/controllercounts.cpp
+++ b/src/workflows/controllercounts.cpp
@@ -39,7 +39,7 @@
                 workflow != nullptr && workflow->isOver() && workflow->endedAtMs == atMs;
             if (isOver && this->countedOver.insert(id).second) {
                 this->metrics.over(*workflow, atMs);
-                logWorkflowOver(*workflow, atMs);
+                logWorkflowEnded(*workflow, atMs);
             }
         }
     });
--- a/src/workflows/controllercrashes.cpp
+++ b/src/workflows/controllercrashes.cpp
@@ -60,7 +60,7 @@
         return;
     this->add(ReviveLife{life}, [life](const Result<CommandOutcome> &outcome) {
         if (outcome && outcome.value() == CommandOutcome::Applied)
-            logAlive(life);
+            logTargetAlive(life);
     });
 }
 
--- a/src/workflows/controllerdomains.cpp
+++ b/src/workflows/controllerdomains.cpp
@@ -35,7 +35,7 @@
         runsThere += state.session->orders();
     }
     if (outcome == CommandOutcome::Applied)
-        logDomain(failureDomain, isEvacuated, targetsThere, runsThere);
+        logDomainEvacuation(failureDomain, isEvacuated, targetsThere, runsThere);
 }
 
 bool Controller::isShutOut(const std::string &queue) const
--- a/src/workflows/controllerstops.cpp
+++ b/src/workflows/controllerstops.cpp
@@ -35,7 +35,7 @@
             ++stopped;
     }
     if (stopped > 0)
-        logStopping(id, why, stopped);
+        logStoppingRuns(id, why, stopped);
 }
 
 void Controller::stopPlaced(WorkflowId id)
@@ -95,7 +95,8 @@
             if (workflow == nullptr || workflow->isOver() || workflow->task(one.task) == nullptr)
                 continue;
             const StepSpec &spec = workflow->spec.steps[one.task.step.step];
-            expected.push_back({one.task, one.run, spec.estimatedMs, !spec.gang && !spec.lasting});
+            expected.push_back(
+                {one.task, one.run, spec.estimatedMs, !spec.gang && !spec.longRunning});
         }
     });
     return expected;
@@ -107,7 +108,7 @@
     if (found == this->lives.end())
         return;
     this->noteAlive(life);
-    ProgressWatch &progress = found->second.progress;
+    ProgressMonitor &progress = found->second.progress;
     progress.listed(running, this->expectedOf(running), this->options.clock());
     if (progress.isStalled())
         this->moveStalled(life, progress);
@@ -116,18 +117,18 @@
 /// Guards against work that waits for a target that answers and does nothing: for 3 to 7 s its runs
 /// stood still, and what was given to it meanwhile as well; three quarters of the short workflows
 /// that came too late to be of use had a run on such a target.
-void Controller::moveStalled(LifeNumber life, const ProgressWatch &progress)
+void Controller::moveStalled(LifeNumber life, const ProgressMonitor &progress)
 {
     const Instant now = this->options.clock();
     const TargetTrust before = this->health.trust(life, now);
     this->health.stalled(life, now);
-    logTrust(life, before, this->health.trust(life, now));
+    logTargetTrust(life, before, this->health.trust(life, now));
     const std::shared_ptr<TargetSession> session = this->lives.at(life).session;
-    for (const TaskAddress &task : progress.betterElsewhere(this->options.session.stopLimit)) {
+    for (const TaskAddress &task : progress.runsWorthMoving(this->options.session.stopLimit)) {
         if (this->movesOf[task] >= mostMoves || !session->stop(task))
             continue;
         ++this->movesOf[task];
-        logMoved(life, task);
+        logRunMoved(life, task);
     }
 }
 
--- a/src/workflows/controllertargets.cpp
+++ b/src/workflows/controllertargets.cpp
@@ -108,7 +108,7 @@
             end.maxFailures = queue == nullptr ? neverFailed : queue->maxFailures;
         }
     });
-    logRunsOver(life, ends);
+    logRunsEnded(life, ends);
     std::vector<WorkflowId> touched;
     touched.reserve(ends.size());
     const Instant now = this->options.clock();
@@ -118,7 +118,7 @@
         this->health.ended(life, end.task.step.workflow, end.outcome, now);
     }
     this->metrics.runsOver(ends);
-    logTrust(life, before, this->health.trust(life, now));
+    logTargetTrust(life, before, this->health.trust(life, now));
     const std::int64_t atMs = this->options.calendarMs();
     EndRuns command{std::move(ends), atMs};
     this->add(
@@ -153,7 +153,7 @@
     const auto found = this->lives.find(life);
     if (found == this->lives.end())
         return;
-    logLifeOver(found->second.session->identity(), how);
+    logTargetEnded(found->second.session->identity(), how);
     const std::shared_ptr<TargetSession> session = found->second.session;
     session->declareOver();
     this->noteCrash(life, how);
@@ -212,7 +212,7 @@
                   });
                   if (this->leads && life != LifeNumber::None && this->lives.count(life) == 0
                       && record.identity.bornAtMs == report.identity.bornAtMs) {
-                      logLifeBegun(record.identity);
+                      logTargetStarted(record.identity);
                       this->openSession(life, record).begin();
                       this->lives[life].sequence = report.sequence;
                       this->lives[life].session->heard(report.isReady, report.coldFor);
@@ -241,7 +241,7 @@
             return;
         }
         if (outcome.value() == CommandOutcome::Applied)
-            logResized(report.identity, before);
+            logTargetResized(report.identity, before);
         this->setDraining(life, !report.isReady, done);
     };
     this->add(ResizeLife{life, report.identity.capacity, report.sequence}, resized);
@@ -280,7 +280,7 @@
     const bool isThisLife = known != this->lives.end()
         && (bornAtMs == 0 || known->second.session->identity().bornAtMs == bornAtMs);
     if (isThisLife && !known->second.session->isOver()) {
-        logLifeOver(known->second.session->identity(), LifeEnd::Left);
+        logTargetEnded(known->second.session->identity(), LifeEnd::Left);
         known->second.session->leave([this, newest] { this->forgetLife(newest); });
     }
     done(Nothing{});
--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -51,7 +51,7 @@
                {"lives", places}});
 }
 
-void logWorkflowOver(const Workflow &workflow, std::int64_t atMs)
+void logWorkflowEnded(const Workflow &workflow, std::int64_t atMs)
 {
     logChange(LogLevel::Information, "job-over",
               {{"job", workflowName(workflow.spec.id)},
@@ -59,14 +59,14 @@
                {"tookMs", std::to_string(atMs - workflow.spec.dueAtMs(0))}});
 }
 
-void logStopping(WorkflowId id, std::string_view why, std::size_t tasks)
+void logStoppingRuns(WorkflowId id, std::string_view why, std::size_t tasks)
 {
     logChange(
         LogLevel::Information, "stopping-runs",
         {{"job", workflowName(id)}, {"why", std::string(why)}, {"tasks", std::to_string(tasks)}});
 }
 
-void logUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing)
+void logTargetUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing)
 {
     const auto yesNo = [](bool value) { return std::string(value ? "yes" : "no"); };
     logChange(LogLevel::Information, isUsable ? "target-usable" : "target-unusable",
@@ -79,7 +79,7 @@
                {"answerAgeMs", std::to_string(standing.answerAge.count())}});
 }
 
-void logPlan(const PlanSummary &summary, std::size_t questions, std::size_t live)
+void logPlan(const PlanSummary &summary, std::size_t queries, std::size_t live)
 {
     std::string waiting;
     for (const auto &[priority, tasks] : summary.waitingTasks) {
@@ -95,7 +95,7 @@
                {"idleMilliCores", std::to_string(summary.idleMilliCores)},
                {"claimedMilliCores", std::to_string(summary.claimedMilliCores)},
                {"savedMilliCores", std::to_string(summary.savedMilliCores)},
-               {"questions", std::to_string(questions)},
+               {"questions", std::to_string(queries)},
                {"live", std::to_string(live)}});
 }
 
@@ -112,7 +112,7 @@
                {"outcome", std::string(enumName(commandOutcomeNames, outcome))}});
 }
 
-void logRunsOver(LifeNumber life, const std::vector<RunEnd> &ends)
+void logRunsEnded(LifeNumber life, const std::vector<RunEnd> &ends)
 {
     std::string runs;
     for (const RunEnd &end : ends) {
@@ -123,13 +123,13 @@
               {{"life", std::to_string(idValue(life))}, {"runs", runs}});
 }
 
-void logMoved(LifeNumber life, const TaskAddress &task)
+void logRunMoved(LifeNumber life, const TaskAddress &task)
 {
     logChange(LogLevel::Information, "run-moved",
               {{"life", std::to_string(idValue(life))}, {"task", taskName(task)}});
 }
 
-void logTrust(LifeNumber life, TargetTrust before, TargetTrust now)
+void logTargetTrust(LifeNumber life, TargetTrust before, TargetTrust now)
 {
     if (before == now)
         return;
@@ -139,7 +139,7 @@
                {"now", std::string(enumName(targetTrustNames, now))}});
 }
 
-void logAdvised(const StepAddress &step, std::size_t asked, std::size_t admitted)
+void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted)
 {
     logChange(LogLevel::Information, "admitted",
               {{"step", stepName(step)},
@@ -147,19 +147,19 @@
                {"admitted", std::to_string(admitted)}});
 }
 
-void logAdviceFailed(const StepAddress &step, const Error &error)
+void logAdmissionFailed(const StepAddress &step, const Error &error)
 {
     logChange(LogLevel::Warning, "admission-unanswered",
               {{"step", stepName(step)}, {"error", error.message}});
 }
 
-void logAgentDoubted(const std::string &agent, std::size_t targets, const Error &error)
+void logAgentUnresponsive(const std::string &agent, std::size_t targets, const Error &error)
 {
     logChange(LogLevel::Warning, "agent-doubted",
               {{"agent", agent}, {"targets", std::to_string(targets)}, {"error", error.message}});
 }
 
-void logLifeBegun(const TargetIdentity &target)
+void logTargetStarted(const TargetIdentity &target)
 {
     logChange(LogLevel::Information, "target-begun",
               {{"target", target.name},
@@ -184,12 +184,12 @@
         {{"life", std::to_string(idValue(life))}, {"crashes", counts}, {"givenUp", hopeless}});
 }
 
-void logAlive(LifeNumber life)
+void logTargetAlive(LifeNumber life)
 {
     logChange(LogLevel::Information, "target-alive", {{"life", std::to_string(idValue(life))}});
 }
 
-void logResized(const TargetIdentity &target, const Resources &before)
+void logTargetResized(const TargetIdentity &target, const Resources &before)
 {
     const auto change = [&](ResourceKind kind) {
         return std::to_string(before[kind]) + ">" + std::to_string(target.capacity[kind]);
@@ -201,7 +201,7 @@
                {"accelerators", change(ResourceKind::Accelerators)}});
 }
 
-void logLifeOver(const TargetIdentity &target, LifeEnd how)
+void logTargetEnded(const TargetIdentity &target, LifeEnd how)
 {
     logChange(LogLevel::Warning, "target-over",
               {{"target", target.name},
@@ -209,8 +209,8 @@
                {"how", std::string(enumName(lifeEndNames, how))}});
 }
 
-void logDomain(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
-               std::size_t runs)
+void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
+                         std::size_t runs)
 {
     logChange(LogLevel::Warning, isEvacuated ? "domain-evacuated" : "domain-open",
               {{"failureDomain", failureDomain},
@@ -218,7 +218,7 @@
                {"runs", std::to_string(runs)}});
 }
 
-void logDocumentInForce(std::int64_t version, const Policy &policy)
+void logConfigurationInForce(std::int64_t version, const Policy &policy)
 {
     logChange(LogLevel::Information, "configuration-in-force",
               {{"version", std::to_string(version)},
@@ -226,7 +226,7 @@
                {"accounts", std::to_string(policy.accounts.size())}});
 }
 
-void logDocumentUnreadable(std::int64_t version, const Error &error)
+void logConfigurationUnreadable(std::int64_t version, const Error &error)
 {
     logChange(LogLevel::Error, "configuration-unreadable",
               {{"version", std::to_string(version)}, {"error", error.message}});
--- a/src/workflows/decisionlog.h
+++ b/src/workflows/decisionlog.h
@@ -33,39 +33,39 @@
                std::int64_t version, std::int64_t ageMs, const WaitTimes &waited,
                std::uint32_t estimatedMs);
 /// It has completed, failed or was cancelled at \a atMs, on the calendar.
-void logWorkflowOver(const Workflow &workflow, std::int64_t atMs);
+void logWorkflowEnded(const Workflow &workflow, std::int64_t atMs);
 /// All that is placed of the workflow is being stopped.
-void logStopping(WorkflowId id, std::string_view why, std::size_t tasks);
+void logStoppingRuns(WorkflowId id, std::string_view why, std::size_t tasks);
 /// New work may go to the target from now on, or no longer, by what is known of it.
-void logUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing);
+void logTargetUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing);
 /// What binds at the moment: written at most once a second.
-void logPlan(const PlanSummary &summary, std::size_t questions, std::size_t live);
+void logPlan(const PlanSummary &summary, std::size_t queries, std::size_t live);
 /// The controller's loop runs late, so that orders and answers wait for it.
 void logLoopLag(Milliseconds lag);
 void logPlacementRejected(const PlaceRuns &command, CommandOutcome outcome);
-void logRunsOver(LifeNumber life, const std::vector<RunEnd> &ends);
+void logRunsEnded(LifeNumber life, const std::vector<RunEnd> &ends);
 /// A run is stopped, to be begun elsewhere, since its target has stalled.
-void logMoved(LifeNumber life, const TaskAddress &task);
+void logRunMoved(LifeNumber life, const TaskAddress &task);
 /// Nothing is written where nothing has changed.
-void logTrust(LifeNumber life, TargetTrust before, TargetTrust now);
-void logAdvised(const StepAddress &step, std::size_t asked, std::size_t admitted);
-void logAdviceFailed(const StepAddress &step, const Error &error);
+void logTargetTrust(LifeNumber life, TargetTrust before, TargetTrust now);
+void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted);
+void logAdmissionFailed(const StepAddress &step, const Error &error);
 /// An instance that carries orders for \a targets has not answered: they go other ways.
-void logAgentDoubted(const std::string &agent, std::size_t targets, const Error &error);
-void logLifeBegun(const TargetIdentity &target);
+void logAgentUnresponsive(const std::string &agent, std::size_t targets, const Error &error);
+void logTargetStarted(const TargetIdentity &target);
 /// The target's process is gone. \a lost: how often targets have crashed under each task that was
 /// lost with it; \a givenUp: those that nothing is started of any more.
 void logCrash(LifeNumber life, const std::map<TaskAddress, LossCount> &lost,
               const std::vector<TaskAddress> &givenUp);
 /// A target that runs were lost with answers again.
-void logAlive(LifeNumber life);
+void logTargetAlive(LifeNumber life);
 /// The target's room was \a before until now.
-void logResized(const TargetIdentity &target, const Resources &before);
-void logLifeOver(const TargetIdentity &target, LifeEnd how);
+void logTargetResized(const TargetIdentity &target, const Resources &before);
+void logTargetEnded(const TargetIdentity &target, LifeEnd how);
 /// \a runs: under way there, or on their way.
-void logDomain(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
-               std::size_t runs);
-void logDocumentInForce(std::int64_t version, const Policy &policy);
-void logDocumentUnreadable(std::int64_t version, const Error &error);
+void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
+                         std::size_t runs);
+void logConfigurationInForce(std::int64_t version, const Policy &policy);
+void logConfigurationUnreadable(std::int64_t version, const Error &error);
 
 } // namespace guavavalve::workflows
--- a/src/workflows/internal/planroom.cpp
+++ b/src/workflows/internal/planroom.cpp
@@ -135,7 +135,7 @@
 
 bool PlanRoom::mayStart(const ReadyStep &step, const OpenTarget &target) const
 {
-    const bool isGood = !step.queue->needsAdvice
+    const bool isGood = !step.queue->needsAdmission
         || (step.admissions != nullptr && step.admissions->admitted.count(target.life) != 0);
     return isGood && PlanRoom::mayRun(step, target)
         && step.spec().reserved().fitsInto(target.identity->capacity);
@@ -144,7 +144,7 @@
 std::vector<OpenTarget *> PlanRoom::admittedTargets(const ReadyStep &step)
 {
     std::vector<OpenTarget *> found;
-    if (!step.queue->needsAdvice) {
+    if (!step.queue->needsAdmission) {
         for (OpenTarget &target : this->open) {
             if (PlanRoom::mayRun(step, target))
                 found.push_back(&target);
@@ -164,7 +164,7 @@
 
 bool PlanRoom::isAdmitted(const ReadyStep &step, LifeNumber life) const
 {
-    if (!step.queue->needsAdvice)
+    if (!step.queue->needsAdmission)
         return true;
     return step.admissions != nullptr
         && step.admissions->valid(life, this->input.now + ticketReserve) != nullptr;
--- a/src/workflows/internal/questionmaker.cpp
+++ b/src/workflows/internal/questionmaker.cpp
@@ -48,7 +48,7 @@
 {
     const double named = static_cast<double>(std::min(targets, longestQuestion));
     return Milliseconds(
-        static_cast<std::int64_t>(step.queue->adviceMs + named * step.queue->adviceMsPerTarget));
+        static_cast<std::int64_t>(step.queue->queryBaseMs + named * step.queue->queryMsPerTarget));
 }
 
 } // namespace
@@ -71,29 +71,30 @@
     return slotsIn(step, target.free);
 }
 
-QuestionMaker::QuestionMaker(const PlanInput &input, PlanRoom &room)
+AdmissionQueryPlanner::AdmissionQueryPlanner(const PlanInput &input, PlanRoom &room)
     : input(input)
     , room(room)
-    , open(input.openQuestions)
+    , open(input.openQueries)
 {}
 
-std::vector<AdmissionQuestion> QuestionMaker::make(const ReadyStep &step, bool isNearTurn)
+std::vector<AdmissionQuery> AdmissionQueryPlanner::make(const ReadyStep &step, bool isNearTurn)
 {
-    std::vector<AdmissionQuestion> made = this->decide(step, isNearTurn);
+    std::vector<AdmissionQuery> made = this->decide(step, isNearTurn);
     this->open += made.size();
     return made;
 }
 
 /// With so few questions under way a further one keeps no other waiting.
-bool QuestionMaker::hasIdleAskers() const
+bool AdmissionQueryPlanner::hasIdleAskers() const
 {
-    return this->open < this->input.askers / partIdle;
+    return this->open < this->input.querierCount / partIdle;
 }
 
-std::vector<AdmissionQuestion> QuestionMaker::decide(const ReadyStep &step, bool isNearTurn) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::decide(const ReadyStep &step,
+                                                          bool isNearTurn) const
 {
     const StepAdmissions *known = step.admissions;
-    if (known != nullptr && (!known->asked.empty() || this->input.now < known->nextQuestionAt))
+    if (known != nullptr && (!known->asked.empty() || this->input.now < known->nextQueryAt))
         return {};
     if (known != nullptr) {
         auto renewal =
@@ -114,8 +115,8 @@
 ///
 /// Guards against questions that cannot help: one costs half a second and more, and gangs that
 /// asked whenever their tickets ran out kept two thirds of the service's time for themselves.
-std::vector<AdmissionQuestion> QuestionMaker::renewGang(const ReadyStep &step,
-                                                        const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::renewGang(const ReadyStep &step,
+                                                             const StepAdmissions &known) const
 {
     std::vector<std::pair<std::uint16_t, LifeNumber>> withRoom;
     for (const auto &[life, admission] : known.admitted) {
@@ -126,7 +127,7 @@
             withRoom.emplace_back(slots, life);
     }
     std::sort(withRoom.rbegin(), withRoom.rend());
-    std::vector<AdmissionQuestion> made;
+    std::vector<AdmissionQuery> made;
     std::size_t found = 0;
     const std::size_t wanted = step.progress().tasks.size();
     for (const auto &[slots, life] : withRoom) {
@@ -147,8 +148,8 @@
 /// Tickets on more targets than the gang needs, where room may come free while they are good.
 ///
 /// Guards against room that has gathered and stands empty while the tickets for it are renewed.
-std::vector<AdmissionQuestion> QuestionMaker::refreshGang(const ReadyStep &step,
-                                                          const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::refreshGang(const ReadyStep &step,
+                                                               const StepAdmissions &known) const
 {
     const std::size_t wanted = enoughCapacity * step.progress().tasks.size();
     const Instant goodUntil =
@@ -164,7 +165,7 @@
         else
             expiring.emplace_back(-target->free[ResourceKind::MilliCores], life);
     }
-    std::vector<AdmissionQuestion> made;
+    std::vector<AdmissionQuery> made;
     for (const LifeNumber life : firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
         if (slots >= wanted)
             break;
@@ -180,7 +181,7 @@
 /// over.
 ///
 /// Guards against gangs that ask about a whole cell while it is full: what they lack is room.
-bool QuestionMaker::knowsEnough(const ReadyStep &step) const
+bool AdmissionQueryPlanner::knowsEnough(const ReadyStep &step) const
 {
     std::size_t slots = 0;
     for (const auto &[life, admission] : step.admissions->admitted) {
@@ -192,17 +193,17 @@
 }
 
 /// Part of the targets that steps of this queue may run on, as observed.
-double QuestionMaker::admittedPart(const ReadyStep &step) const
+double AdmissionQueryPlanner::admittedPart(const ReadyStep &step) const
 {
-    if (this->input.admittedParts == nullptr)
+    if (this->input.admittedFractions == nullptr)
         return usualPart;
-    const auto observed = this->input.admittedParts->find(step.workflow->spec.queue);
-    return observed == this->input.admittedParts->end() ? usualPart : observed->second.mean();
+    const auto observed = this->input.admittedFractions->find(step.workflow->spec.queue);
+    return observed == this->input.admittedFractions->end() ? usualPart : observed->second.mean();
 }
 
 /// For single tasks each ticket on a target with room helps.
-std::vector<AdmissionQuestion> QuestionMaker::renewSingles(const ReadyStep &step,
-                                                           const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::renewSingles(const ReadyStep &step,
+                                                                const StepAdmissions &known) const
 {
     std::vector<std::pair<std::int64_t, LifeNumber>> expired;
     for (const auto &[life, admission] : known.admitted) {
@@ -218,7 +219,7 @@
 
 /// Asks about targets that nothing is known of: those with the most room first. What is learned
 /// stays true, so full ones are named too while nothing at all is known.
-std::vector<AdmissionQuestion> QuestionMaker::explore(const ReadyStep &step) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::explore(const ReadyStep &step) const
 {
     const StepAdmissions *known = step.admissions;
     std::vector<std::pair<std::int64_t, LifeNumber>> unknown;
@@ -246,13 +247,14 @@
 /// Guards against a gang that learns of its targets in turn: a question about 30 targets takes
 /// 0.8 s, and in a cell of 350 that was nearly full a gang asked eleven of them, one after the
 /// other, before it knew where it could run. One about 100 takes 1.3 s.
-std::vector<AdmissionQuestion>
-QuestionMaker::exploreForGang(const ReadyStep &step, const std::vector<LifeNumber> &unknown) const
+std::vector<AdmissionQuery>
+AdmissionQueryPlanner::exploreForGang(const ReadyStep &step,
+                                      const std::vector<LifeNumber> &unknown) const
 {
     const double wanted = spareRoom * static_cast<double>(step.progress().tasks.size());
     const double part = this->admittedPart(step);
     double expected = 0.0;
-    std::vector<AdmissionQuestion> made;
+    std::vector<AdmissionQuery> made;
     for (const LifeNumber life : unknown) {
         if (expected >= wanted)
             break;
--- a/src/workflows/internal/questionmaker.h
+++ b/src/workflows/internal/questionmaker.h
@@ -7,26 +7,25 @@
 namespace guavavalve::workflows::internal {
 
 /// Decides what the admission service is asked about a step that found no place.
-class QuestionMaker
+class AdmissionQueryPlanner
 {
 public:
-    QuestionMaker(const PlanInput &input, PlanRoom &room);
+    AdmissionQueryPlanner(const PlanInput &input, PlanRoom &room);
 
     /// None: answers are awaited, or a question would not help now.
     /// \a isNearTurn: the step is a gang that room is let gather for, now or soon.
-    std::vector<AdmissionQuestion> make(const ReadyStep &step, bool isNearTurn);
+    std::vector<AdmissionQuery> make(const ReadyStep &step, bool isNearTurn);
 
 private:
-    std::vector<AdmissionQuestion> decide(const ReadyStep &step, bool isNearTurn) const;
-    std::vector<AdmissionQuestion> renewGang(const ReadyStep &step,
+    std::vector<AdmissionQuery> decide(const ReadyStep &step, bool isNearTurn) const;
+    std::vector<AdmissionQuery> renewGang(const ReadyStep &step, const StepAdmissions &known) const;
+    std::vector<AdmissionQuery> renewSingles(const ReadyStep &step,
                                              const StepAdmissions &known) const;
-    std::vector<AdmissionQuestion> renewSingles(const ReadyStep &step,
-                                                const StepAdmissions &known) const;
-    std::vector<AdmissionQuestion> explore(const ReadyStep &step) const;
-    std::vector<AdmissionQuestion> exploreForGang(const ReadyStep &step,
-                                                  const std::vector<LifeNumber> &unknown) const;
-    std::vector<AdmissionQuestion> refreshGang(const ReadyStep &step,
-                                               const StepAdmissions &known) const;
+    std::vector<AdmissionQuery> explore(const ReadyStep &step) const;
+    std::vector<AdmissionQuery> exploreForGang(const ReadyStep &step,
+                                               const std::vector<LifeNumber> &unknown) const;
+    std::vector<AdmissionQuery> refreshGang(const ReadyStep &step,
+                                            const StepAdmissions &known) const;
     bool knowsEnough(const ReadyStep &step) const;
     bool hasIdleAskers() const;
     double admittedPart(const ReadyStep &step) const;
--- a/src/workflows/objective.cpp
+++ b/src/workflows/objective.cpp
@@ -10,7 +10,7 @@
     std::vector<std::int64_t> chains(spec.steps.size(), 0);
     for (std::size_t i = spec.steps.size(); i-- > 0;) {
         chains[i] += spec.steps[i].estimatedMs;
-        for (const std::uint16_t earlier : spec.steps[i].after)
+        for (const std::uint16_t earlier : spec.steps[i].dependencies)
             chains[earlier] = std::max(chains[earlier], chains[i]);
     }
     return chains;
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -14,8 +14,8 @@
 
 namespace guavavalve::workflows {
 
+using internal::AdmissionQueryPlanner;
 using internal::PlanRoom;
-using internal::QuestionMaker;
 using internal::ReadyStep;
 
 namespace {
@@ -42,7 +42,7 @@
     explicit Planner(const PlanInput &planInput)
         : input(planInput)
         , room(planInput)
-        , questions(planInput, this->room)
+        , queries(planInput, this->room)
     {
         for (const OpenTarget &target : this->room.targets()) {
             this->allMilliCores += target.identity->capacity[ResourceKind::MilliCores];
@@ -184,7 +184,7 @@
             return;
         }
         bool isAsked = false;
-        if (step.queue->needsAdvice)
+        if (step.queue->needsAdmission)
             isAsked = this->ask(step, step.spec().gang && this->isNearTurn(step));
         this->plan.waiting.push_back({step.address, causeOfWait(step, isAsked)});
         this->room.closeClaim(step);
@@ -195,7 +195,7 @@
     /// True for the first gangs in order, up to a part of the cell and of the instances that ask.
     bool isNearTurn(const ReadyStep &step)
     {
-        const std::size_t most = std::max<std::size_t>(1, this->input.askers / askersPerGang);
+        const std::size_t most = std::max<std::size_t>(1, this->input.querierCount / askersPerGang);
         if (this->nearTurnGangs >= most
             || this->nearTurnMilliCores * partNearTurn >= this->allMilliCores)
             return false;
@@ -216,22 +216,22 @@
     {
         const StepAdmissions *known = step.admissions;
         const bool knowsAny = known != nullptr && !known->admitted.empty();
-        if (!step.queue->needsAdvice || (knowsAny && step.spec().gang))
+        if (!step.queue->needsAdmission || (knowsAny && step.spec().gang))
             return WaitCause::Room;
         if (isAsked || (known != nullptr && !known->asked.empty()))
             return WaitCause::Admission;
-        return knowsAny ? WaitCause::Room : WaitCause::Asker;
+        return knowsAny ? WaitCause::Room : WaitCause::Querier;
     }
 
     /// True if there is anything to ask.
     bool ask(const ReadyStep &step, bool isNearTurn)
     {
-        const std::size_t before = this->plan.questions.size();
-        for (AdmissionQuestion &question : this->questions.make(step, isNearTurn)) {
-            this->room.keep(step, question.claim);
-            this->plan.questions.push_back(std::move(question));
+        const std::size_t before = this->plan.queries.size();
+        for (AdmissionQuery &query : this->queries.make(step, isNearTurn)) {
+            this->room.keep(step, query.claim);
+            this->plan.queries.push_back(std::move(query));
         }
-        return this->plan.questions.size() > before;
+        return this->plan.queries.size() > before;
     }
 
     /// Lets room gather for a gang: less urgent steps get nothing on the targets that have most of
@@ -420,7 +420,7 @@
 
     const PlanInput &input;
     PlanRoom room;
-    QuestionMaker questions;
+    AdmissionQueryPlanner queries;
     std::vector<OpenTarget *> candidates; ///< where the step that is being placed is admitted
     std::set<LifeNumber> onTrial; ///< targets that this plan has given a task that may crash them
     std::size_t placedOfStep = 0; ///< of the step that is being placed, if it is no gang
--- a/src/workflows/planner.h
+++ b/src/workflows/planner.h
@@ -26,7 +26,7 @@
 };
 
 /// A question for the admission service.
-struct AdmissionQuestion
+struct AdmissionQuery
 {
     StepAddress step;
     std::vector<LifeNumber> targets; ///< the likeliest first
@@ -48,7 +48,7 @@
 struct Plan
 {
     std::vector<PlaceRuns> placements;
-    std::vector<AdmissionQuestion> questions;
+    std::vector<AdmissionQuery> queries;
     std::vector<WaitingStep> waiting; ///< steps that have ready tasks without a place
     PlanSummary summary;
 };
@@ -63,9 +63,9 @@
     std::vector<OpenTarget> targets;
     Instant now;
     std::int64_t calendarMs = 0;
-    const AdmittedParts *admittedParts = nullptr; ///< null: nothing has been observed
-    std::size_t askers = 1; ///< instances that can put questions to the admission service
-    std::size_t openQuestions = 0; ///< that wait for their answers
+    const AdmittedFractions *admittedFractions = nullptr; ///< null: nothing has been observed
+    std::size_t querierCount = 1; ///< instances that can put questions to the admission service
+    std::size_t openQueries = 0; ///< that wait for their answers
 };
 
 /// Decides which ready tasks go where. Pure.
--- a/src/workflows/policy.h
+++ b/src/workflows/policy.h
@@ -17,10 +17,10 @@
     std::uint16_t maxFailures = 1; ///< of a task or gang, after which its workflow has failed
     double stretch = 1.0; ///< the objective, in lengths of the longest chain of work
     std::int64_t slackMs = 0; ///< added to the objective
-    bool needsAdvice = false; ///< another service says which targets may run a step
-    std::int64_t adviceValidMs = 0; ///< how long an admission may be used
-    double adviceMs = 0.0; ///< what a question costs, whatever it names
-    double adviceMsPerTarget = 0.0; ///< and for each target named
+    bool needsAdmission = false; ///< another service says which targets may run a step
+    std::int64_t admissionValidMs = 0; ///< how long an admission may be used
+    double queryBaseMs = 0.0; ///< what a question costs, whatever it names
+    double queryMsPerTarget = 0.0; ///< and for each target named
 };
 
 /// What operators set for one client account.
--- a/src/workflows/progresswatch.cpp
+++ b/src/workflows/progresswatch.cpp
@@ -33,18 +33,18 @@
 
 } // namespace
 
-bool ProgressWatch::Seen::crawls() const
+bool ProgressMonitor::Seen::crawls() const
 {
     return this->rate && *this->rate < crawlingPart * this->bestRate;
 }
 
-double ProgressWatch::Seen::wholeMs() const
+double ProgressMonitor::Seen::wholeMs() const
 {
     return this->bestRate > 0.0 ? wholePercent / this->bestRate : this->estimatedMs;
 }
 
-void ProgressWatch::listed(const std::vector<RunningTask> &listed,
-                           const std::vector<ExpectedRun> &expected, Instant now)
+void ProgressMonitor::listed(const std::vector<RunningTask> &listed,
+                             const std::vector<ExpectedRun> &expected, Instant now)
 {
     std::map<TaskAddress, Seen> still;
     for (const ExpectedRun &run : expected) {
@@ -72,7 +72,7 @@
     this->runs = std::move(still);
 }
 
-void ProgressWatch::measure(Seen &seen, const RunningTask &row, Instant now) const
+void ProgressMonitor::measure(Seen &seen, const RunningTask &row, Instant now) const
 {
     seen.percent = *row.percent;
     if (row.checkpoint != seen.checkpoint) {
@@ -92,7 +92,7 @@
     }
 }
 
-bool ProgressWatch::isStalled() const
+bool ProgressMonitor::isStalled() const
 {
     const auto count = [this](const auto &matches) {
         return std::count_if(this->runs.begin(), this->runs.end(),
@@ -104,7 +104,7 @@
     return slow == measured && (still > 0 || slow >= fewestCrawling);
 }
 
-std::vector<TaskAddress> ProgressWatch::betterElsewhere(Milliseconds stopLimit) const
+std::vector<TaskAddress> ProgressMonitor::runsWorthMoving(Milliseconds stopLimit) const
 {
     std::vector<TaskAddress> found;
     if (!this->isStalled())
@@ -116,7 +116,7 @@
     return found;
 }
 
-bool ProgressWatch::isBetterElsewhere(const Seen &seen, Milliseconds stopLimit) const
+bool ProgressMonitor::isBetterElsewhere(const Seen &seen, Milliseconds stopLimit) const
 {
     const double leftMs = (1.0 - seen.percent / wholePercent) * seen.wholeMs();
     double here = usualStallMs + leftMs;
--- a/src/workflows/progresswatch.h
+++ b/src/workflows/progresswatch.h
@@ -26,7 +26,7 @@
 ///
 /// A run works evenly on a sound target, so its progress is compared with its own earlier progress.
 /// Estimates are no measure: by the users' figures they are wrong by a factor of two and more.
-class ProgressWatch
+class ProgressMonitor
 {
 public:
     /// A list that has come at \a now. \a expected: what is known of the runs in \a listed.
@@ -39,7 +39,7 @@
     /// Runs that would be over sooner elsewhere, though stopped here and begun again from their
     /// last checkpoint. Empty unless the target is stalled.
     /// \a stopLimit: what a stop may take.
-    std::vector<TaskAddress> betterElsewhere(Milliseconds stopLimit) const;
+    std::vector<TaskAddress> runsWorthMoving(Milliseconds stopLimit) const;
 
 private:
     /// A stretch of a run's progress that is still being measured.
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -100,7 +100,7 @@
     if (!reply) {
         const bool isUnreachable = reply.error().ran == Ran::No;
         if (this->pool.unanswered(agent, isUnreachable, this->options.clock()))
-            logAgentDoubted(agent, this->pool.targetsOf(agent), reply.error());
+            logAgentUnresponsive(agent, this->pool.targetsOf(agent), reply.error());
         Error error = reply.error();
         if (error.ran == Ran::No)
             error.code = ErrorCode::LimitExceeded;
--- a/src/workflows/targethealth.cpp
+++ b/src/workflows/targethealth.cpp
@@ -92,7 +92,7 @@
     return now < found->second.suspendedUntil ? TargetTrust::Suspended : TargetTrust::Probation;
 }
 
-bool TargetHealth::hasWaited(LifeNumber life, Instant now) const
+bool TargetHealth::hasProbationExpired(LifeNumber life, Instant now) const
 {
     const auto found = this->records.find(life);
     return found == this->records.end() || now > found->second.suspendedUntil + longestProbation;
--- a/src/workflows/targethealth.h
+++ b/src/workflows/targethealth.h
@@ -46,7 +46,7 @@
     ///
     /// Guards against a gang that waits for ever: when a cell runs empty, nobody hands in the
     /// single task by which a target that the gang needs could prove itself.
-    bool hasWaited(LifeNumber life, Instant now) const;
+    bool hasProbationExpired(LifeNumber life, Instant now) const;
 
 private:
     struct Record
--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -202,9 +202,9 @@
         return;
     const auto age =
         this->answeredAt == Instant{} ? Microseconds{} : this->clock() - this->answeredAt;
-    logUsable(this->who, isNow,
-              {this->saysReady, this->hasLists, this->isFenced, this->failures,
-               this->foreign.size(), std::chrono::duration_cast<Milliseconds>(age)});
+    logTargetUsable(this->who, isNow,
+                    {this->saysReady, this->hasLists, this->isFenced, this->failures,
+                     this->foreign.size(), std::chrono::duration_cast<Milliseconds>(age)});
     this->hooks.usableChanged();
 }
 
--- a/src/workflows/waitcause.h
+++ b/src/workflows/waitcause.h
@@ -10,7 +10,7 @@
 
 /// Why tasks that are ready have no place yet.
 enum class WaitCause : std::uint8_t {
-    Asker, ///< no instance was free to put the question to the admission service
+    Querier, ///< no instance was free to put the question to the admission service
     Admission, ///< the admission service has not answered
     Room, ///< none on the targets that may run them
     Limit, ///< their client account is at its upper limit
@@ -20,7 +20,7 @@
 inline constexpr std::size_t waitCauseCount = 5;
 
 inline constexpr EnumNames<WaitCause, waitCauseCount> waitCauseNames{{
-    {WaitCause::Asker, "asker"},
+    {WaitCause::Querier, "asker"},
     {WaitCause::Admission, "admission"},
     {WaitCause::Room, "room"},
     {WaitCause::Limit, "limit"},
--- a/src/workflows/workflow.h
+++ b/src/workflows/workflow.h
@@ -75,7 +75,7 @@
     bool isReady(const StepAddress &address) const
     {
         const Occurrence &occurrence = this->occurrences[address.occurrence];
-        for (const std::uint16_t earlier : this->spec.steps[address.step].after) {
+        for (const std::uint16_t earlier : this->spec.steps[address.step].dependencies) {
             if (!occurrence[earlier].isDone())
                 return false;
         }
--- a/src/workflows/workflowmetrics.cpp
+++ b/src/workflows/workflowmetrics.cpp
@@ -67,7 +67,7 @@
         this->metrics->observe(Metric::CommitSeconds, seconds(took));
 }
 
-void WorkflowMetrics::advised(Milliseconds took, bool isAnswered) const
+void WorkflowMetrics::admissionAnswered(Milliseconds took, bool isAnswered) const
 {
     if (this->metrics != nullptr)
         this->metrics->observe(Metric::AdmissionSeconds, seconds(took),
--- a/src/workflows/workflowmetrics.h
+++ b/src/workflows/workflowmetrics.h
@@ -32,7 +32,7 @@
     /// A batch of commands, from its proposal to its outcomes.
     void stored(Milliseconds took) const;
     /// A question to the admission service.
-    void advised(Milliseconds took, bool isAnswered) const;
+    void admissionAnswered(Milliseconds took, bool isAnswered) const;
 
 private:
     Metrics *metrics;
--- a/test/platform/configurationdocumenttest.cpp
+++ b/test/platform/configurationdocumenttest.cpp
@@ -51,10 +51,10 @@
     CHECK(queue.maxFailures == 3);
     CHECK(queue.stretch == 2.2);
     CHECK(queue.slackMs == 1000);
-    CHECK(queue.needsAdvice);
-    CHECK(queue.adviceMs == 450.0);
-    CHECK(queue.adviceValidMs == 1500);
-    CHECK_FALSE(decoded.value().policy.queue("r2")->needsAdvice);
+    CHECK(queue.needsAdmission);
+    CHECK(queue.queryBaseMs == 450.0);
+    CHECK(queue.admissionValidMs == 1500);
+    CHECK_FALSE(decoded.value().policy.queue("r2")->needsAdmission);
     CHECK(decoded.value().accountByKey.at("k2") == "t1");
     const Resources &limit = decoded.value().policy.accounts.at("t1").limit;
     CHECK(limit[ResourceKind::MilliCores] == 8000);
--- a/test/platform/jobrequesttest.cpp
+++ b/test/platform/jobrequesttest.cpp
@@ -28,12 +28,12 @@
     CHECK(first.label == "a");
     CHECK_FALSE(first.gang);
     const workflows::StepSpec &second = job.value().steps[1];
-    CHECK(second.after == std::vector<std::uint16_t>{0});
-    CHECK((second.checkpointing && second.gang && second.sameRack && second.copies));
-    CHECK((second.lasting && second.fills));
+    CHECK(second.dependencies == std::vector<std::uint16_t>{0});
+    CHECK((second.checkpointing && second.gang && second.sameRack && second.speculative));
+    CHECK((second.longRunning && second.backfill));
     CHECK(second.image == "i");
     CHECK(second.latencyTargetMs == 50);
-    CHECK(second.mayMiss == 1);
+    CHECK(second.maxUnavailable == 1);
     CHECK(second.need[ResourceKind::Accelerators] == 1);
     CHECK(second.reserved()[ResourceKind::MilliCores] == 0); // it fills
 }
--- a/test/workflows/askerpooltest.cpp
+++ b/test/workflows/askerpooltest.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("the instance that is free first asks", "[askers]")
 {
-    AskerPool pool;
+    AdmissionQueryBalancer pool;
     pool.trust("a");
     pool.trust("b");
     CHECK(pool.choose(instances(2), shortOne, now) == "a");
@@ -43,7 +43,7 @@
     // Guests waited a second longer for their confirmations after the leading machine had frozen:
     // its successor took it for present, and had it ask about every third step. None of these
     // questions was answered, and each step was asked about again only 0.6 s later.
-    AskerPool pool;
+    AdmissionQueryBalancer pool;
     CHECK(pool.choose(instances(1), shortOne, now));
     CHECK(pool.choose(instances(1), shortOne, now));
     CHECK_FALSE(pool.choose(instances(1), shortOne, now)); // it has not answered yet
@@ -61,7 +61,7 @@
     // Callers that wait for a step of 0.8 s were served a second late while the cell was full: each
     // instance had questions about waiting batch steps queued, 0.14 s each, and theirs of 13 ms
     // came behind.
-    AskerPool pool;
+    AdmissionQueryBalancer pool;
     const auto all = instances(12);
     for (const InstanceId &instance : all)
         pool.answered(instance, false, now);
@@ -76,7 +76,7 @@
 
 TEST_CASE("questions that could only wait are not asked", "[askers]")
 {
-    AskerPool pool;
+    AdmissionQueryBalancer pool;
     pool.trust("a");
     CHECK(pool.choose(instances(1), longOne, now));
     CHECK(pool.choose(instances(1), longOne, now));
--- a/test/workflows/bookfixture.h
+++ b/test/workflows/bookfixture.h
@@ -20,12 +20,12 @@
             this->beginLife("t" + std::to_string(i), 1);
     }
 
-    static StepSpec step(std::uint16_t tasks, std::vector<std::uint16_t> after = {})
+    static StepSpec step(std::uint16_t tasks, std::vector<std::uint16_t> dependencies = {})
     {
         StepSpec spec;
         spec.tasks = tasks;
         spec.need[ResourceKind::MilliCores] = 1000;
-        spec.after = std::move(after);
+        spec.dependencies = std::move(dependencies);
         return spec;
     }
 
--- a/test/workflows/booktest.cpp
+++ b/test/workflows/booktest.cpp
@@ -132,9 +132,9 @@
 TEST_CASE("a lasting task waits again however it ended", "[book]")
 {
     BookFixture f;
-    StepSpec lasting = f.step(1);
-    lasting.lasting = true;
-    f.accept({lasting});
+    StepSpec longRunning = f.step(1);
+    longRunning.longRunning = true;
+    f.accept({longRunning});
     RunNumber run = 0;
     for (const RunOutcome outcome :
          {RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::Failed, RunOutcome::Failed}) {
--- a/test/workflows/controllertest.cpp
+++ b/test/workflows/controllertest.cpp
@@ -64,7 +64,7 @@
     this->runFor(Milliseconds(20000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 1);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(ControllerFixture, "a silent target's task waits for its lease before it moves",
@@ -82,7 +82,7 @@
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 2);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(ControllerFixture, "a target that hears but is not heard loses its lease",
@@ -96,7 +96,7 @@
     this->fleet.cut(first, true);
     this->runFor(Milliseconds(15000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(ControllerFixture, "a target reborn under its name has lost what it ran",
@@ -112,7 +112,7 @@
     CHECK(this->runOf() == 2); // at once: no lease has to run out
     this->runFor(Milliseconds(5000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(ControllerFixture, "a new controller goes on with what runs", "[controller]")
@@ -126,7 +126,7 @@
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 4);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(ControllerFixture, "a new controller starts work without waiting for heartbeats",
@@ -200,7 +200,7 @@
     for (unsigned i = 1; i <= jobs; ++i)
         CHECK(cell.stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
     CHECK(cell.fleet.failures <= 7); // two, and one each time that it may prove itself
-    CHECK(cell.fleet.breach.empty());
+    CHECK(cell.fleet.violation.empty());
 }
 
 TEST_CASE("a gang does not wait for others to prove its targets", "[controller]")
@@ -254,5 +254,5 @@
     this->runFor(Milliseconds(7000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 2);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
--- a/test/workflows/crashingtasktest.cpp
+++ b/test/workflows/crashingtasktest.cpp
@@ -30,23 +30,23 @@
 TEST_CASE_METHOD(CrashingTaskFixture, "a task that crashes each target that starts it is given up",
                  "[crashes]")
 {
-    this->renamesReborn = GENERATE(false, true);
+    this->renamesRestarted = GENERATE(false, true);
     this->submit(job, {BookFixture::step(1)});
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
 TEST_CASE_METHOD(CrashingTaskFixture, "crashes are counted across changes of controller",
                  "[crashes]")
 {
-    this->renamesReborn = GENERATE(false, true);
+    this->renamesRestarted = GENERATE(false, true);
     this->submit(job, {BookFixture::step(1)});
     for (int i = 0; i < 40; ++i) {
         this->runFor(Milliseconds(1700));
         this->changeController(Milliseconds(800));
     }
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
@@ -55,7 +55,7 @@
 {
     this->submit(job, {BookFixture::gang(4)});
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
@@ -69,7 +69,7 @@
         this->runFor(Milliseconds(500));
     }
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
     for (std::uint64_t i = 2; i < 2 + neighbours; ++i)
         CHECK(this->stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
@@ -91,7 +91,7 @@
     }
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(CrashingTaskFixture, "work on targets that are cut off for long is not given up",
@@ -144,14 +144,14 @@
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed, 12);
-    simulation.renamesReborn = seed % 2 == 0;
+    simulation.renamesRestarted = seed % 2 == 0;
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     for (std::uint64_t id = 1; id <= 30; id += crashingOneIn)
         simulation.fleet.crashing.insert({{static_cast<WorkflowId>(id), 0, 0}, 0});
     RandomRounds rounds;
-    rounds.mostSteps = 2;
+    rounds.maxSteps = 2;
     rounds.disturb = [&] { disturbTargets(simulation, random); };
-    const std::uint64_t last = playRounds(simulation, random, rounds);
+    const std::uint64_t last = runRounds(simulation, random, rounds);
     for (const std::string &name : simulation.fleet.names())
         simulation.fleet.heal(name);
     checkOutcome(simulation, seed);
@@ -175,5 +175,5 @@
 TEST_CASE("only work whose targets crash again and again is given up, whatever else happens",
           "[crashes][random]")
 {
-    playSeeds(defaultSeeds, playCrashes);
+    runSeeds(defaultSeeds, playCrashes);
 }
--- a/test/workflows/evacuationtest.cpp
+++ b/test/workflows/evacuationtest.cpp
@@ -84,10 +84,10 @@
     Simulation simulation(seed);
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     RandomRounds rounds;
-    rounds.mostSteps = 2;
-    rounds.calmFor = 3;
+    rounds.maxSteps = 2;
+    rounds.roundsPerDisturbance = 3;
     rounds.disturb = [&] { disturb(simulation, random); };
-    playRounds(simulation, random, rounds);
+    runRounds(simulation, random, rounds);
     simulation.fleet.faults = {};
     for (const std::string &name : simulation.fleet.names())
         simulation.fleet.heal(name);
@@ -227,7 +227,7 @@
     order.leaseUntilMs = 60000;
     fleet.start(target, order, loop.now() + Milliseconds(700), [](const Result<OrderAnswer> &) {});
     loop.runFor(Milliseconds(100));
-    CHECK(fleet.breach.find("is evacuated") != std::string::npos);
+    CHECK(fleet.violation.find("is evacuated") != std::string::npos);
 }
 
 TEST_CASE("a cold target is used when the others have no room", "[evacuation]")
@@ -246,5 +246,5 @@
 TEST_CASE("evacuations in series, cut targets and changes of controller start nothing too late",
           "[random][evacuation]")
 {
-    playSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, play);
 }
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -86,7 +86,7 @@
         }
         calmDown(simulation);
         simulation.runFor(Milliseconds(30000));
-        CHECK(simulation.fleet.breach.empty());
+        CHECK(simulation.fleet.violation.empty());
         CHECK(simulation.isAllOver());
     }
 }
@@ -104,7 +104,7 @@
     CHECK(simulation.fleet.starts == 0);
     simulation.fleet.faults.unsentStart = 0.0;
     simulation.runFor(Milliseconds(10000));
-    CHECK(simulation.fleet.breach.empty());
+    CHECK(simulation.fleet.violation.empty());
     CHECK(simulation.isAllOver());
 }
 
--- a/test/workflows/lossledgertest.cpp
+++ b/test/workflows/lossledgertest.cpp
@@ -193,9 +193,9 @@
 {
     const bool isEarly = GENERATE(false, true);
     BookFixture f(2 * TargetLossTracker::mostCrashes);
-    StepSpec lasting = f.step(1);
-    lasting.lasting = true;
-    f.accept({lasting});
+    StepSpec longRunning = f.step(1);
+    longRunning.longRunning = true;
+    f.accept({longRunning});
     for (unsigned i = 1; i <= 2 * TargetLossTracker::mostCrashes && !f.workflow().isOver(); ++i)
         crashUnder(f, i, i, isEarly ? RunOutcome::LostEarly : RunOutcome::Lost);
     CHECK(f.workflow().isOver() == isEarly);
--- a/test/workflows/planfixture.h
+++ b/test/workflows/planfixture.h
@@ -35,7 +35,8 @@
                                 record.placed.size()});
         }
         return makePlan({this->book, this->policy, this->admissions, this->claims, open, this->now,
-                         this->calendarMs, this->admittedParts, this->askers, this->openQuestions});
+                         this->calendarMs, this->admittedFractions, this->querierCount,
+                         this->openQueries});
     }
 
     /// Plans, and carries the placements out.
@@ -62,9 +63,9 @@
 
     void needAdvice()
     {
-        this->policy.queues["q"].needsAdvice = true;
-        this->policy.queues["q"].adviceMs = 500;
-        this->policy.queues["q"].adviceValidMs = 1500;
+        this->policy.queues["q"].needsAdmission = true;
+        this->policy.queues["q"].queryBaseMs = 500;
+        this->policy.queues["q"].admissionValidMs = 1500;
     }
 
     void admit(unsigned number, Milliseconds validFor)
@@ -79,9 +80,9 @@
     std::set<LifeNumber> onProbation;
     std::set<LifeNumber> cold;
     std::int64_t calendarMs = 1000;
-    const AdmittedParts *admittedParts = nullptr;
-    std::size_t askers = 1;
-    std::size_t openQuestions = 0;
+    const AdmittedFractions *admittedFractions = nullptr;
+    std::size_t querierCount = 1;
+    std::size_t openQueries = 0;
     Instant now{std::chrono::seconds(100)};
 };
 
--- a/test/workflows/plannertest.cpp
+++ b/test/workflows/plannertest.cpp
@@ -111,10 +111,10 @@
     this->accept({step(2)});
     const Plan first = this->plan();
     CHECK(first.placements.empty());
-    REQUIRE(first.questions.size() == 1);
-    CHECK(first.questions[0].targets.size() == 3);
+    REQUIRE(first.queries.size() == 1);
+    CHECK(first.queries[0].targets.size() == 3);
     this->admissions[at(0)].asked = {life(1)};
-    CHECK(this->plan().questions.empty());
+    CHECK(this->plan().queries.empty());
     this->admissions[at(0)].asked.clear();
     this->admissions[at(0)].refused = {life(1), life(3)};
     this->admit(2, Milliseconds(1500));
@@ -130,8 +130,8 @@
     this->admit(2, Milliseconds(100));
     const Plan made = this->plan();
     CHECK(made.placements.empty());
-    REQUIRE(made.questions.size() == 1);
-    CHECK(made.questions[0].targets == std::vector<LifeNumber>{life(2)});
+    REQUIRE(made.queries.size() == 1);
+    CHECK(made.queries[0].targets == std::vector<LifeNumber>{life(2)});
 }
 
 TEST_CASE_METHOD(PlanFixture, "a gang's tickets are renewed only where all of it has room",
@@ -146,14 +146,14 @@
     this->admit(1, Milliseconds(0));
     this->admit(2, Milliseconds(0));
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 1);
-    CHECK(made.questions[0].targets.size() == 2);
+    REQUIRE(made.queries.size() == 1);
+    CHECK(made.queries[0].targets.size() == 2);
     std::size_t claimed = 0;
-    for (const auto &[target, tasks] : made.questions[0].claim)
+    for (const auto &[target, tasks] : made.queries[0].claim)
         claimed += tasks;
     CHECK(claimed == 6);
     this->closed = {life(2)};
-    CHECK(this->plan().questions.empty());
+    CHECK(this->plan().queries.empty());
 }
 
 TEST_CASE_METHOD(PlanFixture, "claimed room is kept for its step", "[planner]")
--- a/test/workflows/progresswatchtest.cpp
+++ b/test/workflows/progresswatchtest.cpp
@@ -31,7 +31,7 @@
         this->watch.listed(running, expected, this->now);
     }
 
-    ProgressWatch watch;
+    ProgressMonitor watch;
     Instant now{std::chrono::seconds(100)};
     Milliseconds stop{900};
 };
@@ -44,7 +44,7 @@
     this->list(Milliseconds(400), {45, 60});
     this->list(Milliseconds(500), {95, 99});
     CHECK_FALSE(this->watch.isStalled());
-    CHECK(this->watch.betterElsewhere(this->stop).empty());
+    CHECK(this->watch.runsWorthMoving(this->stop).empty());
 }
 
 // Callers' estimates are far off. Work that took five times as long was taken for work on a slow
@@ -66,7 +66,7 @@
     CHECK_FALSE(this->watch.isStalled()); // too early to tell
     this->list(Milliseconds(600), {30, 0});
     CHECK(this->watch.isStalled());
-    CHECK(this->watch.betterElsewhere(this->stop).size() == 2);
+    CHECK(this->watch.runsWorthMoving(this->stop).size() == 2);
     this->list(Milliseconds(1000), {99, 99});
     CHECK_FALSE(this->watch.isStalled());
 }
@@ -80,7 +80,7 @@
     CHECK_FALSE(this->watch.isStalled());
     this->list(Milliseconds(900), {60, 64});
     CHECK(this->watch.isStalled());
-    CHECK(this->watch.betterElsewhere(this->stop).size() == 2);
+    CHECK(this->watch.runsWorthMoving(this->stop).size() == 2);
 }
 
 // One run that crawls may have come to a slow part of its work.
@@ -99,7 +99,7 @@
     this->list(Milliseconds(0), {50}, 6000);
     this->list(Milliseconds(1000), {50}, 6000);
     CHECK(this->watch.isStalled());
-    CHECK(this->watch.betterElsewhere(this->stop).empty());
+    CHECK(this->watch.runsWorthMoving(this->stop).empty());
 }
 
 // Members of a gang wait for each other: one target's stall holds up runs on all the others.
--- a/test/workflows/questionmakertest.cpp
+++ b/test/workflows/questionmakertest.cpp
@@ -46,15 +46,15 @@
     this->fill();
     this->accept({gang(20)});
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 4);
+    REQUIRE(made.queries.size() == 4);
     std::set<LifeNumber> named;
-    for (const AdmissionQuestion &question : made.questions) {
-        CHECK(question.targets.size() <= 100);
-        named.insert(question.targets.begin(), question.targets.end());
+    for (const AdmissionQuery &query : made.queries) {
+        CHECK(query.targets.size() <= 100);
+        named.insert(query.targets.begin(), query.targets.end());
     }
     CHECK(named.size() == targets);
     this->admissions[at(0)].asked = named;
-    CHECK(this->plan().questions.empty());
+    CHECK(this->plan().queries.empty());
 }
 
 TEST_CASE_METHOD(LargeCell, "in an empty cell a gang asks about what it probably needs",
@@ -64,8 +64,8 @@
     // with room to spare 42. Each name more costs the service 7 ms.
     this->accept({gang(20)});
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 1);
-    CHECK(made.questions[0].targets.size() == 42);
+    REQUIRE(made.queries.size() == 1);
+    CHECK(made.queries[0].targets.size() == 42);
 }
 
 // Guards against a question that the service refuses because it names too many targets.
@@ -75,13 +75,13 @@
     for (unsigned i = 1; i <= targets; ++i)
         this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now};
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 2);
+    REQUIRE(made.queries.size() == 2);
     std::size_t claimed = 0;
     std::set<LifeNumber> named;
-    for (const AdmissionQuestion &question : made.questions) {
-        CHECK(question.targets.size() <= 100);
-        named.insert(question.targets.begin(), question.targets.end());
-        for (const auto &[target, tasks] : question.claim)
+    for (const AdmissionQuery &query : made.queries) {
+        CHECK(query.targets.size() <= 100);
+        named.insert(query.targets.begin(), query.targets.end());
+        for (const auto &[target, tasks] : query.claim)
             claimed += tasks;
     }
     CHECK(named.size() == 150);
@@ -95,10 +95,10 @@
     this->accept({gang(20)});
     for (unsigned i = 1; i <= 25; ++i)
         this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now + Milliseconds(1400)};
-    this->openQuestions = this->askers;
-    CHECK(this->plan().questions.empty());
+    this->openQueries = this->querierCount;
+    CHECK(this->plan().queries.empty());
     this->admissions[at(0)].admitted.erase(life(25));
-    CHECK_FALSE(this->plan().questions.empty());
+    CHECK_FALSE(this->plan().queries.empty());
 }
 
 // Guards against instances that stand idle while a gang could learn of more targets.
@@ -112,29 +112,29 @@
             this->admissions[step].admitted[life(i)] = {"ticket", this->now + Milliseconds(1400)};
     }
     // The first is near its turn and has fresh tickets; the second has time to learn.
-    this->askers = 4;
+    this->querierCount = 4;
     const Plan idle = this->plan();
-    REQUIRE(idle.questions.size() == 4);
-    CHECK(idle.questions[0].step.workflow == static_cast<WorkflowId>(11));
-    this->openQuestions = 2;
-    CHECK(this->plan().questions.empty());
+    REQUIRE(idle.queries.size() == 4);
+    CHECK(idle.queries[0].step.workflow == static_cast<WorkflowId>(11));
+    this->openQueries = 2;
+    CHECK(this->plan().queries.empty());
 }
 
 // Guards against room that has gathered for a gang and stands empty until its tickets are renewed.
 TEST_CASE_METHOD(LargeCell, "a gang whose turn is near renews its tickets before it has room",
                  "[questions]")
 {
-    this->policy.queues["q"].adviceMs = 500;
-    this->policy.queues["q"].adviceMsPerTarget = 10;
+    this->policy.queues["q"].queryBaseMs = 500;
+    this->policy.queues["q"].queryMsPerTarget = 10;
     this->fill();
     this->accept({gang(20)});
     for (unsigned i = 1; i <= 25; ++i)
         this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now + Milliseconds(900)};
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 1);
-    CHECK(made.questions[0].targets.size() == 25);
-    CHECK(made.questions[0].claim.empty());
-    for (const LifeNumber target : made.questions[0].targets)
+    REQUIRE(made.queries.size() == 1);
+    CHECK(made.queries[0].targets.size() == 25);
+    CHECK(made.queries[0].claim.empty());
+    for (const LifeNumber target : made.queries[0].targets)
         CHECK(this->admissions[at(0)].admitted.count(target) == 1);
 }
 
@@ -143,13 +143,13 @@
                  "[questions]")
 {
     this->accept({gang(20)});
-    AdmittedParts observed;
+    AdmittedFractions observed;
     for (int i = 0; i < 100; ++i)
         observed["q"].answered(10, 7);
-    this->admittedParts = &observed;
+    this->admittedFractions = &observed;
     const Plan made = this->plan();
-    REQUIRE(made.questions.size() == 1);
-    CHECK(made.questions[0].targets.size() == 18);
+    REQUIRE(made.queries.size() == 1);
+    CHECK(made.queries[0].targets.size() == 18);
 }
 
 // Guards against a few gangs that keep the instances of a small cell busy with their tickets.
@@ -162,8 +162,8 @@
         for (unsigned i = 1; i <= 25; ++i)
             this->admissions[step].admitted[life(i)] = {"ticket", this->now + Milliseconds(100)};
     }
-    this->askers = this->openQuestions = 6;
-    CHECK(this->plan().questions.size() == 1);
-    this->askers = this->openQuestions = 12;
-    CHECK(this->plan().questions.size() == 3);
+    this->querierCount = this->openQueries = 6;
+    CHECK(this->plan().queries.size() == 1);
+    this->querierCount = this->openQueries = 12;
+    CHECK(this->plan().queries.size() == 3);
 }
--- a/test/workflows/randomfleettest.cpp
+++ b/test/workflows/randomfleettest.cpp
@@ -65,7 +65,7 @@
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     RandomRounds rounds;
     rounds.disturb = [&] { disturb(simulation, random); };
-    const std::uint64_t handedIn = playRounds(simulation, random, rounds);
+    const std::uint64_t handedIn = runRounds(simulation, random, rounds);
     calmDown(simulation);
     checkOutcome(simulation, seed);
     CHECK(simulation.fleet.starts > handedIn);
@@ -81,5 +81,5 @@
     // answers lost, orders carried out up to 12 s late, targets cut both ways or one way, crashes
     // and rebirths under the old name, drains, and controllers that go on for a while after they
     // were replaced. GUAVAVALVE_SEEDS names how many seeds are played.
-    playSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, play);
 }
--- a/test/workflows/randomrounds.cpp
+++ b/test/workflows/randomrounds.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-std::vector<StepSpec> randomSteps(std::mt19937_64 &random, int mostSteps)
+std::vector<StepSpec> randomSteps(std::mt19937_64 &random, int maxSteps)
 {
     std::vector<StepSpec> steps;
-    const auto count = std::uniform_int_distribution<>(1, mostSteps)(random);
+    const auto count = std::uniform_int_distribution<>(1, maxSteps)(random);
     for (int i = 0; i < count; ++i) {
         const auto tasks =
             static_cast<std::uint16_t>(std::uniform_int_distribution<>(1, 4)(random));
         const bool isGang = std::uniform_int_distribution<>(0, 3)(random) == 0;
         StepSpec step = isGang ? BookFixture::gang(tasks) : BookFixture::step(tasks);
         if (i > 0)
-            step.after = {static_cast<std::uint16_t>(i - 1)};
+            step.dependencies = {static_cast<std::uint16_t>(i - 1)};
         steps.push_back(step);
     }
     return steps;
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void playSeeds(std::uint64_t usual, const std::function<void(std::uint64_t seed)> &play)
+void runSeeds(std::uint64_t usual, const std::function<void(std::uint64_t seed)> &play)
 {
     spdlog::set_level(spdlog::level::off);
     const char *wanted = std::getenv("GUAVAVALVE_SEEDS");
@@ -41,16 +41,15 @@
     }
 }
 
-std::uint64_t playRounds(Simulation &simulation, std::mt19937_64 &random,
-                         const RandomRounds &rounds)
+std::uint64_t runRounds(Simulation &simulation, std::mt19937_64 &random, const RandomRounds &rounds)
 {
     std::uint64_t lastId = 0;
     for (int i = 0; i < 60; ++i) {
         if (i % 2 == 0) {
             simulation.submit(static_cast<WorkflowId>(++lastId),
-                              randomSteps(random, rounds.mostSteps));
+                              randomSteps(random, rounds.maxSteps));
         }
-        if (std::uniform_int_distribution<>(0, rounds.calmFor - 1)(random) == 0)
+        if (std::uniform_int_distribution<>(0, rounds.roundsPerDisturbance - 1)(random) == 0)
             rounds.disturb();
         simulation.runFor(Milliseconds(std::uniform_int_distribution<>(50, 900)(random)));
     }
@@ -66,9 +65,9 @@
 void checkOutcome(Simulation &simulation, std::uint64_t seed)
 {
     simulation.runFor(Milliseconds(90000));
-    CHECK(simulation.fleet.breach.empty());
-    if (!simulation.fleet.breach.empty())
-        WARN("seed " << seed << ": " << simulation.fleet.breach);
+    CHECK(simulation.fleet.violation.empty());
+    if (!simulation.fleet.violation.empty())
+        WARN("seed " << seed << ": " << simulation.fleet.violation);
     CHECK(simulation.isAllOver());
 }
 
--- a/test/workflows/resizetest.cpp
+++ b/test/workflows/resizetest.cpp
@@ -56,10 +56,10 @@
     Simulation simulation(seed);
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     RandomRounds rounds;
-    rounds.mostSteps = 2;
-    rounds.calmFor = 2;
+    rounds.maxSteps = 2;
+    rounds.roundsPerDisturbance = 2;
     rounds.disturb = [&] { disturb(simulation, random); };
-    playRounds(simulation, random, rounds);
+    runRounds(simulation, random, rounds);
     for (const std::string &name : simulation.fleet.names()) {
         simulation.fleet.heal(name);
         simulation.resize(name, 4000);
@@ -79,7 +79,7 @@
     CHECK(this->placedOn("t1") == 1);
     CHECK(this->placedOn("t2") == 4);
     this->runFor(Milliseconds(30000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Completed);
 }
 
@@ -126,5 +126,5 @@
 TEST_CASE("rooms that shrink and grow are never overdrawn, whatever else happens",
           "[resize][random]")
 {
-    playSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, play);
 }
--- a/test/workflows/simulatedfleet.cpp
+++ b/test/workflows/simulatedfleet.cpp
@@ -154,8 +154,8 @@
 
 void SimulatedFleet::report(const std::string &what)
 {
-    if (this->breach.empty())
-        this->breach = what + " at " + std::to_string(this->loop.nowMs()) + " ms";
+    if (this->violation.empty())
+        this->violation = what + " at " + std::to_string(this->loop.nowMs()) + " ms";
 }
 
 std::int64_t SimulatedFleet::clockOf(const Target &target) const
@@ -274,7 +274,7 @@
         room = std::max(room, target.roomBefore);
     if (used > room)
         this->report(name + " is over the room of " + target.identity.name);
-    for (const std::uint16_t earlier : this->specOf(order.task).after) {
+    for (const std::uint16_t earlier : this->specOf(order.task).dependencies) {
         TaskAddress before{{order.task.step.workflow, order.task.step.occurrence, earlier}, 0};
         for (; before.index < this->specOf(before).tasks; ++before.index) {
             if (this->ended.count(before) == 0)
--- a/test/workflows/simulatedfleet.h
+++ b/test/workflows/simulatedfleet.h
@@ -70,7 +70,7 @@
     std::string hanging; ///< a target whose tasks stand still, for good; empty: none
     std::set<TaskAddress> crashing; ///< tasks that crash each target that starts them
     std::function<void(const std::string &name)> targetCrashed; ///< a target, by one of these
-    std::string breach; ///< the first; empty: none
+    std::string violation; ///< the first; empty: none
     std::size_t starts = 0;
     std::size_t holds = 0; ///< questions that were sent
     std::size_t failures = 0;
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -65,7 +65,7 @@
     this->reigns.push_back(std::move(reign));
 }
 
-void Simulation::beat(const std::string &name)
+void Simulation::heartbeat(const std::string &name)
 {
     TargetReport report;
     report.identity = this->identities.at(name);
@@ -77,21 +77,21 @@
 void Simulation::drain(const std::string &name)
 {
     this->draining.insert(name);
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::restart(const std::string &name)
 {
     this->draining.erase(name);
     this->identities[name] = this->fleet.add(name, this->milliCores, Simulation::domainOf(name));
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::resize(const std::string &name, std::int64_t milliCores)
 {
     this->fleet.resize(name, milliCores);
     this->identities.at(name).capacity[ResourceKind::MilliCores] = milliCores;
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::replace(const std::string &name)
@@ -104,7 +104,7 @@
 
 void Simulation::rebirth(const std::string &name)
 {
-    if (this->renamesReborn)
+    if (this->renamesRestarted)
         this->replace(name);
     else
         this->restart(name);
@@ -156,7 +156,7 @@
         const Milliseconds part = std::min(span, beatInterval);
         for (const auto &[name, identity] : this->identities) {
             if (this->fleet.isUp(name))
-                this->beat(name);
+                this->heartbeat(name);
         }
         this->loop.runFor(part);
         span -= part;
--- a/test/workflows/simulation.h
+++ b/test/workflows/simulation.h
@@ -12,13 +12,13 @@
 namespace guavavalve::workflows {
 
 /// Admits every target, with a ticket.
-class GenerousAdmissions : public AdmissionPort
+class AdmitAllPort : public AdmissionPort
 {
 public:
-    explicit GenerousAdmissions(VirtualLoop &loop)
+    explicit AdmitAllPort(VirtualLoop &loop)
         : loop(loop)
     {}
-    std::size_t askers() const override { return 8; }
+    std::size_t querierCount() const override { return 8; }
     void ask(const StepAddress &, const std::vector<std::string> &targets, Milliseconds expected,
              Instant, Done<Admitted> done) override
     {
@@ -68,7 +68,7 @@
     /// Another controller takes over; the one before goes on for \a stale, without its log.
     void changeController(Milliseconds stale);
     /// A target's heartbeat, as it would come every 1.5 s.
-    void beat(const std::string &name);
+    void heartbeat(const std::string &name);
     void drain(const std::string &name);
     void restart(const std::string &name);
     /// The target has another room from now on, as its heartbeats say.
@@ -93,7 +93,7 @@
     VirtualLoop loop;
     Milliseconds storeTime{0}; ///< of the next controller's log
     std::int64_t calendarStepMs = 1; ///< how finely the calendar is read
-    bool renamesReborn = false; ///< targets that crashed come back under new names
+    bool renamesRestarted = false; ///< targets that crashed come back under new names
     /// The port that the next controller sends its orders through; not set: the fleet's own.
     std::function<TargetPort &()> portOfController;
     Metrics metrics;
@@ -118,7 +118,7 @@
 
     std::map<std::string, TargetIdentity> identities;
     std::int64_t milliCores;
-    GenerousAdmissions admissions;
+    AdmitAllPort admissions;
     std::vector<std::unique_ptr<Reign>> reigns;
     std::uint64_t term = 0;
     std::uint64_t sequence = 0;
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -54,7 +54,7 @@
     SimulatedFleet fleet(loop, 1);
     BookMachine machine;
     HeldLog log(machine);
-    GenerousAdmissions admissions(loop);
+    AdmitAllPort admissions(loop);
     ControllerOptions options;
     options.readPolicy = [](const std::string &) -> Result<Policy> {
         Policy policy;
@@ -90,5 +90,5 @@
     log.release();
     loop.runFor(Milliseconds(500));
     CHECK(fleet.starts == 0);
-    CHECK(fleet.breach.empty());
+    CHECK(fleet.violation.empty());
 }
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -69,10 +69,10 @@
     simulation.changeController(Milliseconds(0));
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     RandomRounds rounds;
-    rounds.mostSteps = 2;
-    rounds.calmFor = 3;
+    rounds.maxSteps = 2;
+    rounds.roundsPerDisturbance = 3;
     rounds.disturb = [&] { disturb(simulation, agents, random); };
-    const std::uint64_t handedIn = playRounds(simulation, random, rounds);
+    const std::uint64_t handedIn = runRounds(simulation, random, rounds);
     simulation.fleet.faults = {};
     for (unsigned agent = 1; agent <= agentCount; ++agent)
         agents.wake(agent);
@@ -201,5 +201,5 @@
     "agents that freeze with orders in hand, are killed and wake run each task once at a time",
     "[random][agents]")
 {
-    playSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, play);
 }
--- a/test/workflows/targethealthtest.cpp
+++ b/test/workflows/targethealthtest.cpp
@@ -81,7 +81,7 @@
     this->ends(1, 4, RunOutcome::Failed); // was under way, and does not prolong the suspension
     this->now += Milliseconds(1100);
     CHECK(this->trust(1) == TargetTrust::Probation);
-    CHECK_FALSE(this->health.hasWaited(life(1), this->now));
+    CHECK_FALSE(this->health.hasProbationExpired(life(1), this->now));
     this->ends(1, 5, RunOutcome::Failed);
     this->now += Milliseconds(1100);
     CHECK(this->trust(1) == TargetTrust::Suspended); // twice as long
@@ -89,7 +89,7 @@
     CHECK(this->trust(1) == TargetTrust::Probation);
     this->now += Milliseconds(1000);
     CHECK(this->trust(1) == TargetTrust::Probation);
-    CHECK(this->health.hasWaited(life(1), this->now));
+    CHECK(this->health.hasProbationExpired(life(1), this->now));
     this->ends(1, 6, RunOutcome::Succeeded);
     CHECK(this->trust(1) == TargetTrust::Trusted);
 }
--- a/test/workflows/waitledgertest.cpp
+++ b/test/workflows/waitledgertest.cpp
@@ -58,8 +58,8 @@
     f.needAdvice();
     f.accept({BookFixture::step(1)});
     CHECK(f.plan().waiting.front().cause == WaitCause::Admission); // it is asked now
-    f.admissions[f.at(0)].nextQuestionAt = f.now + Milliseconds(100);
-    CHECK(f.plan().waiting.front().cause == WaitCause::Asker);
+    f.admissions[f.at(0)].nextQueryAt = f.now + Milliseconds(100);
+    CHECK(f.plan().waiting.front().cause == WaitCause::Querier);
     f.admit(1, Milliseconds(1000));
     CHECK(f.plan().waiting.empty());
 }
