--- a/src/workflows/admissions.h
+++ b/src/workflows/admissions.h
@@ -22,14 +22,14 @@
 /// the ticket that proves it runs out.
 struct StepAdmissions
 {
-    std::map<LifeNumber, Admission> admitted;
-    std::set<LifeNumber> refused;
-    std::set<LifeNumber> asked; ///< targets that questions under way name
+    std::map<IncarnationId, Admission> admitted;
+    std::set<IncarnationId> refused;
+    std::set<IncarnationId> asked; ///< targets that questions under way name
     Instant nextQueryAt{}; ///< not before, after one that failed
 
-    const Admission *valid(LifeNumber life, Instant now) const
+    const Admission *valid(IncarnationId incarnation, Instant now) const
     {
-        const auto found = this->admitted.find(life);
+        const auto found = this->admitted.find(incarnation);
         return found == this->admitted.end() || found->second.validUntil <= now ? nullptr
                                                                                 : &found->second;
     }
--- a/src/workflows/book.cpp
+++ b/src/workflows/book.cpp
@@ -49,7 +49,7 @@
 } // namespace
 
 template<typename Archive>
-void Book::serialize(Archive &archive, unsigned format)
+void WorkflowStore::serialize(Archive &archive, unsigned format)
 {
     archive(this->all, this->liveIds, this->lifeTable, this->newest, this->lastLife, this->used,
             this->version, this->text);
@@ -59,7 +59,7 @@
         archive(this->lossTracker, this->resizedBy);
 }
 
-CommandOutcomes Book::apply(const CommandBatch &batch)
+CommandOutcomes WorkflowStore::apply(const CommandBatch &batch)
 {
     CommandOutcomes outcomes;
     outcomes.reserve(batch.size());
@@ -69,36 +69,38 @@
     return outcomes;
 }
 
-const Workflow *Book::find(WorkflowId id) const
+const Workflow *WorkflowStore::find(WorkflowId id) const
 {
     const auto found = this->all.find(id);
     return found == this->all.end() ? nullptr : &found->second;
 }
 
-const LifeRecord *Book::find(LifeNumber number) const
+const IncarnationRecord *WorkflowStore::find(IncarnationId number) const
 {
     const auto found = this->lifeTable.find(number);
     return found == this->lifeTable.end() ? nullptr : &found->second;
 }
 
-bool Book::takesWork(const LifeRecord &life) const
+bool WorkflowStore::takesWork(const IncarnationRecord &incarnation) const
 {
-    return !life.isDraining && this->evacuated.count(life.identity.failureDomain) == 0;
+    return !incarnation.isDraining
+        && this->evacuated.count(incarnation.identity.failureDomain) == 0;
 }
 
-LifeNumber Book::newestLife(const std::string &name) const
+IncarnationId WorkflowStore::newestIncarnation(const std::string &name) const
 {
     const auto found = this->newest.find(name);
-    return found == this->newest.end() ? LifeNumber::None : found->second;
+    return found == this->newest.end() ? IncarnationId::None : found->second;
 }
 
-bool Book::holds(const TargetIdentity &identity, bool isDraining) const
+bool WorkflowStore::matchesNewest(const TargetIdentity &identity, bool isDraining) const
 {
-    const LifeRecord *life = this->find(this->newestLife(identity.name));
-    return life != nullptr && life->isDraining == isDraining && life->identity == identity;
+    const IncarnationRecord *incarnation = this->find(this->newestIncarnation(identity.name));
+    return incarnation != nullptr && incarnation->isDraining == isDraining
+        && incarnation->identity == identity;
 }
 
-CommandOutcome Book::on(const AcceptWorkflow &command)
+CommandOutcome WorkflowStore::on(const AcceptWorkflow &command)
 {
     if (this->all.count(command.spec.id) != 0)
         return CommandOutcome::Joined;
@@ -112,7 +114,7 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const CancelWorkflow &command)
+CommandOutcome WorkflowStore::on(const CancelWorkflow &command)
 {
     const auto found = this->all.find(command.id);
     if (found == this->all.end())
@@ -127,7 +129,7 @@
 /// Checked again when it is applied: what an earlier controller decided before a target began to
 /// drain, its failure domain was evacuated, its room shrank or the task crashed too many targets is
 /// rejected.
-bool Book::fits(const Workflow &workflow, const PlaceRuns &command) const
+bool WorkflowStore::fits(const Workflow &workflow, const PlaceRuns &command) const
 {
     const StepAddress &step = command.step;
     const bool isKnown =
@@ -137,30 +139,30 @@
     const StepProgress &progress = workflow.step(step);
     return std::all_of(command.placements.begin(), command.placements.end(),
                        [&](const Placement &placement) {
-                           const LifeRecord *life = this->find(placement.life);
+                           const IncarnationRecord *incarnation = this->find(placement.incarnation);
                            return placement.index < progress.tasks.size()
                                && progress.tasks[placement.index].phase == TaskPhase::Waiting
                                && progress.tasks[placement.index].run < command.run
                                && this->lossTracker.mayStart({step, placement.index})
-                               && life != nullptr && this->takesWork(*life);
+                               && incarnation != nullptr && this->takesWork(*incarnation);
                        })
         && this->hasRoom(workflow, command);
 }
 
 /// Together with what is placed there, also if the room has shrunk since the placement was decided.
-bool Book::hasRoom(const Workflow &workflow, const PlaceRuns &command) const
+bool WorkflowStore::hasRoom(const Workflow &workflow, const PlaceRuns &command) const
 {
     const Resources need = workflow.spec.steps[command.step.step].reserved();
-    std::map<LifeNumber, Resources> taken;
+    std::map<IncarnationId, Resources> taken;
     for (const Placement &placement : command.placements)
-        taken[placement.life] += need;
+        taken[placement.incarnation] += need;
     return std::all_of(taken.begin(), taken.end(), [&](const auto &one) {
-        const LifeRecord &life = *this->find(one.first);
-        return one.second.fitsInto(life.identity.capacity - life.used);
+        const IncarnationRecord &incarnation = *this->find(one.first);
+        return one.second.fitsInto(incarnation.identity.capacity - incarnation.used);
     });
 }
 
-CommandOutcome Book::on(const PlaceRuns &command)
+CommandOutcome WorkflowStore::on(const PlaceRuns &command)
 {
     const auto found = this->all.find(command.step.workflow);
     if (found == this->all.end() || !this->fits(found->second, command))
@@ -172,10 +174,10 @@
         TaskProgress &task = progress.tasks[placement.index];
         task.phase = TaskPhase::Placed;
         task.run = command.run;
-        task.life = placement.life;
-        LifeRecord &life = this->lifeTable[placement.life];
-        life.placed.insert({command.step, placement.index});
-        life.used += room;
+        task.incarnation = placement.incarnation;
+        IncarnationRecord &incarnation = this->lifeTable[placement.incarnation];
+        incarnation.placed.insert({command.step, placement.index});
+        incarnation.used += room;
         this->used[workflow.spec.account] += workflow.spec.steps[command.step.step].need;
         ++progress.placed;
         ++workflow.placed;
@@ -184,7 +186,7 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const EndRuns &command)
+CommandOutcome WorkflowStore::on(const EndRuns &command)
 {
     bool hasChanged = false;
     for (const RunEnd &end : command.ends)
@@ -192,7 +194,7 @@
     return hasChanged ? CommandOutcome::Applied : CommandOutcome::Unchanged;
 }
 
-bool Book::endRun(const RunEnd &end, std::int64_t atMs)
+bool WorkflowStore::endRun(const RunEnd &end, std::int64_t atMs)
 {
     const auto found = this->all.find(end.task.step.workflow);
     if (found == this->all.end())
@@ -204,38 +206,38 @@
     StepProgress &progress = workflow.step(end.task.step);
     if (!end.checkpoint.empty())
         progress.tasks[end.task.index].checkpoint = end.checkpoint;
-    const LifeNumber life = known->life;
+    const IncarnationId incarnation = known->incarnation;
     this->release(workflow, end.task);
     if (end.outcome == RunOutcome::Succeeded)
         this->succeed(workflow, end.task);
     else if (end.outcome == RunOutcome::Failed)
         this->fail(workflow, end);
     else if (end.outcome == RunOutcome::Lost || end.outcome == RunOutcome::LostEarly)
-        this->lose(workflow.spec.steps[end.task.step.step], end, life);
+        this->lose(workflow.spec.steps[end.task.step.step], end, incarnation);
     this->settle(workflow, atMs);
     return true;
 }
 
 /// A lasting task that was lost later than soon after its start has shown that it can run: over its
 /// whole life many of its targets crash.
-void Book::lose(const StepSpec &spec, const RunEnd &end, LifeNumber life)
+void WorkflowStore::lose(const StepSpec &spec, const RunEnd &end, IncarnationId incarnation)
 {
     const bool isEarly = end.outcome == RunOutcome::LostEarly;
     if (spec.longRunning && !isEarly)
         this->lossTracker.forget(end.task);
     else
-        this->lossTracker.lost(life, end.task, isEarly);
+        this->lossTracker.lost(incarnation, end.task, isEarly);
 }
 
 /// Takes a run from its target's room and its account's total; the task waits again.
-void Book::release(Workflow &workflow, const TaskAddress &address)
+void WorkflowStore::release(Workflow &workflow, const TaskAddress &address)
 {
     const StepSpec &spec = workflow.spec.steps[address.step.step];
     StepProgress &progress = workflow.step(address.step);
     TaskProgress &task = progress.tasks[address.index];
-    const auto life = this->lifeTable.find(task.life);
-    if (life != this->lifeTable.end() && life->second.placed.erase(address) != 0)
-        life->second.used -= spec.reserved();
+    const auto incarnation = this->lifeTable.find(task.incarnation);
+    if (incarnation != this->lifeTable.end() && incarnation->second.placed.erase(address) != 0)
+        incarnation->second.used -= spec.reserved();
     this->used[workflow.spec.account] -= spec.need;
     task.phase = TaskPhase::Waiting;
     --progress.placed;
@@ -247,7 +249,7 @@
 ///
 /// Guards against a gang that stays half done for ever: a member whose target left just before
 /// the end counts as lost and waits, and would wait for members that never run again.
-void Book::succeed(Workflow &workflow, const TaskAddress &address)
+void WorkflowStore::succeed(Workflow &workflow, const TaskAddress &address)
 {
     const StepSpec &spec = workflow.spec.steps[address.step.step];
     if (spec.longRunning)
@@ -270,7 +272,7 @@
 }
 
 /// A gang fails once for each run in which any member failed.
-void Book::fail(Workflow &workflow, const RunEnd &end)
+void WorkflowStore::fail(Workflow &workflow, const RunEnd &end)
 {
     const StepSpec &spec = workflow.spec.steps[end.task.step.step];
     StepProgress &progress = workflow.step(end.task.step);
@@ -292,7 +294,7 @@
     workflow.hasFailed = true;
 }
 
-void Book::settle(Workflow &workflow, std::int64_t atMs)
+void WorkflowStore::settle(Workflow &workflow, std::int64_t atMs)
 {
     if (!workflow.isOver())
         return;
@@ -305,54 +307,54 @@
     shed(workflow);
 }
 
-CommandOutcome Book::on(const BeginLife &command)
+CommandOutcome WorkflowStore::on(const RegisterIncarnation &command)
 {
-    const LifeNumber known = this->newestLife(command.identity.name);
-    if (const LifeRecord *life = this->find(known)) {
-        if (life->identity.bornAtMs >= command.identity.bornAtMs)
+    const IncarnationId known = this->newestIncarnation(command.identity.name);
+    if (const IncarnationRecord *incarnation = this->find(known)) {
+        if (incarnation->identity.startedAtMs >= command.identity.startedAtMs)
             return CommandOutcome::Unchanged;
     }
-    const auto number = static_cast<LifeNumber>(++this->lastLife);
-    LifeRecord record;
+    const auto number = static_cast<IncarnationId>(++this->lastLife);
+    IncarnationRecord record;
     record.identity = command.identity;
     this->lifeTable.emplace(number, std::move(record));
     this->newest[command.identity.name] = number;
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const ForgetLife &command)
+CommandOutcome WorkflowStore::on(const ForgetIncarnation &command)
 {
-    const auto found = this->lifeTable.find(command.life);
+    const auto found = this->lifeTable.find(command.incarnation);
     if (found == this->lifeTable.end())
         return CommandOutcome::Unchanged;
     if (!found->second.placed.empty())
         return CommandOutcome::Rejected;
-    this->lossTracker.survived(command.life);
+    this->lossTracker.survived(command.incarnation);
     const auto name = this->newest.find(found->second.identity.name);
-    if (name != this->newest.end() && name->second == command.life)
+    if (name != this->newest.end() && name->second == command.incarnation)
         this->newest.erase(name);
-    this->resizedBy.erase(command.life);
+    this->resizedBy.erase(command.incarnation);
     this->lifeTable.erase(found);
     return CommandOutcome::Applied;
 }
 
 /// What drains ends soon in any case: its end is no crash.
-CommandOutcome Book::on(const CrashLife &command)
+CommandOutcome WorkflowStore::on(const MarkIncarnationCrashed &command)
 {
-    if (!this->lossTracker.hasOpen(command.life))
+    if (!this->lossTracker.hasOpen(command.incarnation))
         return CommandOutcome::Unchanged;
-    const LifeRecord *life = this->find(command.life);
-    if (life != nullptr && life->isDraining) {
-        this->lossTracker.survived(command.life);
+    const IncarnationRecord *incarnation = this->find(command.incarnation);
+    if (incarnation != nullptr && incarnation->isDraining) {
+        this->lossTracker.survived(command.incarnation);
         return CommandOutcome::Applied;
     }
-    for (const TaskAddress &task : this->lossTracker.crashed(command.life))
+    for (const TaskAddress &task : this->lossTracker.crashed(command.incarnation))
         this->giveUp(task, command.atMs);
     return CommandOutcome::Applied;
 }
 
 /// The task crashes what it is started on: its workflow has failed.
-void Book::giveUp(const TaskAddress &address, std::int64_t atMs)
+void WorkflowStore::giveUp(const TaskAddress &address, std::int64_t atMs)
 {
     const auto found = this->all.find(address.step.workflow);
     if (found == this->all.end() || found->second.isOver())
@@ -365,20 +367,20 @@
     this->settle(workflow, atMs);
 }
 
-CommandOutcome Book::on(const ReviveLife &command)
+CommandOutcome WorkflowStore::on(const MarkIncarnationAlive &command)
 {
-    if (!this->lossTracker.hasOpen(command.life))
+    if (!this->lossTracker.hasOpen(command.incarnation))
         return CommandOutcome::Unchanged;
-    this->lossTracker.survived(command.life);
+    this->lossTracker.survived(command.incarnation);
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const ResizeLife &command)
+CommandOutcome WorkflowStore::on(const ResizeIncarnation &command)
 {
-    const auto found = this->lifeTable.find(command.life);
+    const auto found = this->lifeTable.find(command.incarnation);
     if (found == this->lifeTable.end() || found->second.identity.capacity == command.capacity)
         return CommandOutcome::Unchanged;
-    std::uint64_t &newestReport = this->resizedBy[command.life];
+    std::uint64_t &newestReport = this->resizedBy[command.incarnation];
     if (command.sequence < newestReport)
         return CommandOutcome::Unchanged;
     newestReport = command.sequence;
@@ -386,16 +388,16 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const DrainLife &command)
+CommandOutcome WorkflowStore::on(const SetIncarnationDraining &command)
 {
-    const auto found = this->lifeTable.find(command.life);
+    const auto found = this->lifeTable.find(command.incarnation);
     if (found == this->lifeTable.end() || found->second.isDraining == command.isDraining)
         return CommandOutcome::Unchanged;
     found->second.isDraining = command.isDraining;
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const EvacuateDomain &command)
+CommandOutcome WorkflowStore::on(const EvacuateDomain &command)
 {
     const bool hasChanged = command.isEvacuated
         ? this->evacuated.insert(command.failureDomain).second
@@ -403,7 +405,7 @@
     return hasChanged ? CommandOutcome::Applied : CommandOutcome::Unchanged;
 }
 
-CommandOutcome Book::on(const StoreDocument &command)
+CommandOutcome WorkflowStore::on(const StoreDocument &command)
 {
     if (command.version <= this->version)
         return CommandOutcome::Unchanged;
@@ -412,7 +414,7 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome Book::on(const ForgetWorkflows &command)
+CommandOutcome WorkflowStore::on(const ForgetWorkflows &command)
 {
     for (const WorkflowId id : command.ids) {
         const auto found = this->all.find(id);
@@ -422,20 +424,20 @@
     return CommandOutcome::Applied;
 }
 
-std::string Book::snapshot() const
+std::string WorkflowStore::snapshot() const
 {
     std::string bytes;
     bytes.append(formatMark);
     bytes.push_back(static_cast<char>(newestFormat));
     MemoryOutputArchive archive(bytes);
-    const_cast<Book *>(this)->serialize(archive, newestFormat); // writing changes nothing
+    const_cast<WorkflowStore *>(this)->serialize(archive, newestFormat); // writing changes nothing
     return bytes;
 }
 
-Result<void> Book::restore(std::string_view snapshot)
+Result<void> WorkflowStore::restore(std::string_view snapshot)
 {
     try {
-        Book read;
+        WorkflowStore read;
         const unsigned format = formatOf(snapshot);
         if (format > newestFormat)
             return failure(ErrorCode::Corrupt, "the snapshot has a format that is not known");
--- a/src/workflows/bookmachine.cpp
+++ b/src/workflows/bookmachine.cpp
@@ -4,25 +4,25 @@
 
 namespace guavavalve::workflows {
 
-std::string BookMachine::apply(LogIndex, const std::string &command)
+std::string WorkflowStoreMachine::apply(LogIndex, const std::string &command)
 {
     const auto batch = decode<CommandBatch>(command);
     if (!batch)
         return encode(CommandOutcomes()); // every replica holds the same bytes and rejects them
     const std::lock_guard lock(this->mutex);
-    return encode(this->book.apply(batch.value()));
+    return encode(this->store.apply(batch.value()));
 }
 
-std::string BookMachine::takeSnapshot()
+std::string WorkflowStoreMachine::takeSnapshot()
 {
     const std::lock_guard lock(this->mutex);
-    return this->book.snapshot();
+    return this->store.snapshot();
 }
 
-Result<void> BookMachine::restoreSnapshot(const std::string &snapshot)
+Result<void> WorkflowStoreMachine::restoreSnapshot(const std::string &snapshot)
 {
     const std::lock_guard lock(this->mutex);
-    return this->book.restore(snapshot);
+    return this->store.restore(snapshot);
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/bookmachine.h
+++ b/src/workflows/bookmachine.h
@@ -9,7 +9,7 @@
 namespace guavavalve::workflows {
 
 /// The book as the replicated log drives it. Read from any thread.
-class BookMachine : public StateMachine
+class WorkflowStoreMachine : public StateMachine
 {
 public:
     std::string apply(LogIndex index, const std::string &command) override;
@@ -21,12 +21,12 @@
     auto read(Reader &&reader) const
     {
         const std::lock_guard lock(this->mutex);
-        return std::forward<Reader>(reader)(this->book);
+        return std::forward<Reader>(reader)(this->store);
     }
 
 private:
     mutable std::mutex mutex;
-    Book book;
+    WorkflowStore store;
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/carriedorder.h
+++ b/src/workflows/carriedorder.h
@@ -19,7 +19,7 @@
 struct CarriedOrder
 {
     std::string target; ///< its name
-    std::int64_t bornAtMs = 0;
+    std::int64_t startedAtMs = 0;
     std::string address;
     std::variant<StartOrder, StopOrder, HoldOrder> order;
     /// From its arrival, since clocks differ: for the answer, and for leaving the line.
@@ -29,7 +29,7 @@
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->target, this->bornAtMs, this->address, this->order, this->answerWithinMs,
+        archive(this->target, this->startedAtMs, this->address, this->order, this->answerWithinMs,
                 this->leaveWithinMs);
     }
 };
--- a/src/workflows/claims.h
+++ b/src/workflows/claims.h
@@ -14,7 +14,7 @@
 /// about would be taken by small tasks before the answer comes, and it would ask again for ever.
 struct Claim
 {
-    std::map<LifeNumber, std::uint16_t> tasks; ///< how many of the step's tasks fit where
+    std::map<IncarnationId, std::uint16_t> tasks; ///< how many of the step's tasks fit where
     Instant until{}; ///< then the room is anybody's again
 };
 
--- a/src/workflows/command.h
+++ b/src/workflows/command.h
@@ -24,9 +24,10 @@
 
 /// One change of the book. The order of the alternatives is part of the format of the log: new ones
 /// go to the end.
-using Command = std::variant<AcceptWorkflow, CancelWorkflow, PlaceRuns, EndRuns, BeginLife,
-                             ForgetLife, StoreDocument, ForgetWorkflows, DrainLife, EvacuateDomain,
-                             CrashLife, ReviveLife, ResizeLife>;
+using Command =
+    std::variant<AcceptWorkflow, CancelWorkflow, PlaceRuns, EndRuns, RegisterIncarnation,
+                 ForgetIncarnation, StoreDocument, ForgetWorkflows, SetIncarnationDraining,
+                 EvacuateDomain, MarkIncarnationCrashed, MarkIncarnationAlive, ResizeIncarnation>;
 
 /// Commands that go into the log as one entry. An empty batch is a read barrier.
 using CommandBatch = std::vector<Command>;
--- a/src/workflows/commands/beginlife.h
+++ b/src/workflows/commands/beginlife.h
@@ -5,7 +5,7 @@
 namespace guavavalve::workflows {
 
 /// A target's life is heard of for the first time.
-struct BeginLife
+struct RegisterIncarnation
 {
     TargetIdentity identity;
 
--- a/src/workflows/commands/crashlife.h
+++ b/src/workflows/commands/crashlife.h
@@ -8,15 +8,15 @@
 
 /// The process of a target's life is gone without a goodbye: what was lost with it has been under a
 /// crash.
-struct CrashLife
+struct MarkIncarnationCrashed
 {
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
     std::int64_t atMs = 0; ///< calendar time, for retention only
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->life, this->atMs);
+        archive(this->incarnation, this->atMs);
     }
 };
 
--- a/src/workflows/commands/forgetlife.h
+++ b/src/workflows/commands/forgetlife.h
@@ -5,14 +5,14 @@
 namespace guavavalve::workflows {
 
 /// A life is over and nothing is placed on it any more.
-struct ForgetLife
+struct ForgetIncarnation
 {
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->life);
+        archive(this->incarnation);
     }
 };
 
--- a/src/workflows/commands/placeruns.h
+++ b/src/workflows/commands/placeruns.h
@@ -14,12 +14,12 @@
 struct Placement
 {
     std::uint16_t index = 0; ///< of the task in its step
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->index, this->life);
+        archive(this->index, this->incarnation);
     }
 };
 
--- a/src/workflows/commands/revivelife.h
+++ b/src/workflows/commands/revivelife.h
@@ -5,14 +5,14 @@
 namespace guavavalve::workflows {
 
 /// A life that runs were lost with answers again: it was cut off and has not crashed.
-struct ReviveLife
+struct MarkIncarnationAlive
 {
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->life);
+        archive(this->incarnation);
     }
 };
 
--- a/src/workflows/controller.cpp
+++ b/src/workflows/controller.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Controller::Controller(ControllerOptions options, ReplicatedLog &log, BookMachine &machine,
+Controller::Controller(ControllerOptions options, ReplicatedLog &log, WorkflowStoreMachine &machine,
                        TargetPort &targets, AdmissionPort &admissions)
     : options(std::move(options))
     , log(log)
@@ -39,7 +39,7 @@
 Controller::~Controller()
 {
     *this->alive = false;
-    for (auto &[life, state] : this->lives)
+    for (auto &[incarnation, state] : this->incarnations)
         state.session->end();
 }
 
@@ -55,9 +55,9 @@
 
 void Controller::leadershipChanged(bool nowLeads, std::uint64_t newTerm)
 {
-    for (auto &[life, state] : this->lives)
+    for (auto &[incarnation, state] : this->incarnations)
         state.session->end();
-    this->lives.clear();
+    this->incarnations.clear();
     this->unbegun.clear();
     this->health.clear();
     this->movesOf.clear();
@@ -88,10 +88,10 @@
 void Controller::refreshPolicy()
 {
     std::string document;
-    const std::int64_t version = this->machine.read([&](const Book &book) {
-        if (book.documentVersion() != this->policyVersion)
-            document = book.document();
-        return book.documentVersion();
+    const std::int64_t version = this->machine.read([&](const WorkflowStore &store) {
+        if (store.documentVersion() != this->policyVersion)
+            document = store.document();
+        return store.documentVersion();
     });
     if (version == this->policyVersion)
         return;
@@ -137,7 +137,7 @@
               });
 }
 
-void Controller::confirm(Done<Nothing> done)
+void Controller::confirmLeadership(Done<Nothing> done)
 {
     if (!this->leads) {
         done(this->notLeading());
@@ -273,36 +273,36 @@
 
 std::size_t Controller::usableTargets() const
 {
-    return static_cast<std::size_t>(
-        std::count_if(this->lives.begin(), this->lives.end(),
-                      [](const auto &life) { return life.second.session->isUsable(); }));
+    return static_cast<std::size_t>(std::count_if(
+        this->incarnations.begin(), this->incarnations.end(),
+        [](const auto &incarnation) { return incarnation.second.session->isUsable(); }));
 }
 
-std::vector<OpenTarget> Controller::openTargets(const Book &book) const
+std::vector<OpenTarget> Controller::openTargets(const WorkflowStore &store) const
 {
     const Instant now = this->options.clock();
-    const std::size_t maxSuspended = this->lives.size() / partSuspended;
-    const std::size_t maxOnTrial = this->lives.size() / partOnTrial;
+    const std::size_t maxSuspended = this->incarnations.size() / partSuspended;
+    const std::size_t maxOnTrial = this->incarnations.size() / partOnTrial;
     std::size_t suspended = 0;
     std::size_t onTrial = 0;
     std::vector<OpenTarget> open;
-    for (const auto &[life, state] : this->lives) {
+    for (const auto &[incarnation, state] : this->incarnations) {
         if (!state.session->isUsable())
             continue;
-        const TargetTrust trust = this->health.trust(life, now);
+        const TargetTrust trust = this->health.trust(incarnation, now);
         if (trust == TargetTrust::Suspended && suspended++ < maxSuspended)
             continue;
         if (state.session->isOnTrial() && onTrial++ < maxOnTrial)
             continue;
-        const LifeRecord *record = book.find(life);
-        if (record == nullptr || book.newestLife(record->identity.name) != life
-            || !book.takesWork(*record))
+        const IncarnationRecord *record = store.find(incarnation);
+        if (record == nullptr || store.newestIncarnation(record->identity.name) != incarnation
+            || !store.takesWork(*record))
             continue;
         const bool onProbation = trust == TargetTrust::Probation;
         if (onProbation && !record->placed.empty())
             continue;
-        open.push_back({life, &record->identity, record->identity.capacity - record->used,
-                        onProbation && !this->health.hasProbationExpired(life, now),
+        open.push_back({incarnation, &record->identity, record->identity.capacity - record->used,
+                        onProbation && !this->health.hasProbationExpired(incarnation, now),
                         state.session->isCold(), record->placed.size()});
     }
     return open;
@@ -310,11 +310,11 @@
 
 void Controller::plan(std::vector<Pending> &batch)
 {
-    const Plan made = this->machine.read([&](const Book &book) {
-        return makePlan({book, this->inForce, this->admissions, this->claims,
-                         this->openTargets(book), this->options.clock(), this->options.calendarMs(),
-                         &this->admittedFractions, this->admissionPort.querierCount(),
-                         this->openQueries});
+    const Plan made = this->machine.read([&](const WorkflowStore &store) {
+        return makePlan({store, this->inForce, this->admissions, this->claims,
+                         this->openTargets(store), this->options.clock(),
+                         this->options.calendarMs(), &this->admittedFractions,
+                         this->admissionPort.querierCount(), this->openQueries});
     });
     for (const PlaceRuns &command : made.placements) {
         batch.push_back({command, [this, command](const Result<CommandOutcome> &outcome) {
@@ -330,7 +330,7 @@
         return;
     this->nextPlanLog = now + planLogInterval;
     const std::size_t live =
-        this->machine.read([](const Book &book) { return book.live().size(); });
+        this->machine.read([](const WorkflowStore &store) { return store.live().size(); });
     logPlan(made.summary, this->openQueries, live);
 }
 
@@ -350,8 +350,8 @@
     std::string account;
     std::int64_t ageMs = 0;
     std::uint32_t estimatedMs = 0;
-    const bool isKnown = this->machine.read([&](const Book &book) {
-        const Workflow *workflow = book.find(command.step.workflow);
+    const bool isKnown = this->machine.read([&](const WorkflowStore &store) {
+        const Workflow *workflow = store.find(command.step.workflow);
         // A controller that has lost its lead and not heard of it, as after its disk has stalled,
         // is told of its placement when a later one has finished the workflow already.
         if (workflow == nullptr || workflow->occurrences.empty())
@@ -362,7 +362,7 @@
             order.priority = policy->priority;
         account = workflow->spec.account;
         ageMs = this->options.calendarMs() - workflow->spec.dueAtMs(command.step.occurrence);
-        this->countFirstStart(command, book);
+        this->countFirstStart(command, store);
         const StepProgress &progress = workflow->step(command.step);
         std::string shared;
         for (const TaskProgress &task : progress.tasks)
@@ -370,7 +370,7 @@
         const bool isGang = workflow->spec.steps[command.step.step].gang;
         estimatedMs = workflow->spec.steps[command.step.step].estimatedMs;
         for (std::size_t i = 0; i < command.placements.size(); ++i) {
-            isTrial[i] = book.losses().isSuspect({command.step, command.placements[i].index});
+            isTrial[i] = store.losses().isSuspect({command.step, command.placements[i].index});
             checkpoints[i] =
                 isGang ? shared : progress.tasks[command.placements[i].index].checkpoint;
         }
@@ -383,21 +383,21 @@
     const auto admitted = this->admissions.find(command.step);
     for (std::size_t i = 0; i < command.placements.size(); ++i) {
         const Placement &placement = command.placements[i];
-        const auto life = this->lives.find(placement.life);
-        if (life == this->lives.end())
+        const auto incarnation = this->incarnations.find(placement.incarnation);
+        if (incarnation == this->incarnations.end())
             continue; // its life has ended meanwhile, and with it what was placed there
         order.task = {command.step, placement.index};
-        if (life->second.session->isOver()) {
-            this->neverStarted(placement.life, order.task, command.run);
+        if (incarnation->second.session->isOver()) {
+            this->neverStarted(placement.incarnation, order.task, command.run);
             continue;
         }
         order.checkpoint = checkpoints[i];
         if (admitted != this->admissions.end()) {
-            const auto ticket = admitted->second.admitted.find(placement.life);
+            const auto ticket = admitted->second.admitted.find(placement.incarnation);
             if (ticket != admitted->second.admitted.end())
                 order.ticket = ticket->second.ticket;
         }
-        life->second.session->start(order, isTrial[i]);
+        incarnation->second.session->start(order, isTrial[i]);
     }
 }
 
@@ -411,8 +411,8 @@
     if (this->lag > lagToLog)
         logLoopLag(std::chrono::duration_cast<Milliseconds>(this->lag));
     std::vector<std::shared_ptr<TargetSession>> all; // a session that ends takes itself out
-    all.reserve(this->lives.size());
-    for (const auto &[life, state] : this->lives)
+    all.reserve(this->incarnations.size());
+    for (const auto &[incarnation, state] : this->incarnations)
         all.push_back(state.session);
     for (const auto &session : all)
         session->tick();
@@ -434,18 +434,18 @@
     this->nextForget = now + forgetInterval;
     const std::int64_t before = this->options.calendarMs() - this->options.retention.count();
     ForgetWorkflows command;
-    this->machine.read([&](const Book &book) {
-        for (const auto &[id, workflow] : book.workflows()) {
+    this->machine.read([&](const WorkflowStore &store) {
+        for (const auto &[id, workflow] : store.workflows()) {
             if (workflow.isOver() && workflow.placed == 0 && workflow.endedAtMs < before)
                 command.ids.push_back(id);
         }
         for (auto step = this->admissions.begin(); step != this->admissions.end();) {
-            const bool isLive = book.live().count(step->first.workflow) != 0;
+            const bool isLive = store.live().count(step->first.workflow) != 0;
             step = isLive || !step->second.asked.empty() ? std::next(step)
                                                          : this->admissions.erase(step);
         }
         for (auto moved = this->movesOf.begin(); moved != this->movesOf.end();) {
-            const bool isLive = book.live().count(moved->first.step.workflow) != 0;
+            const bool isLive = store.live().count(moved->first.step.workflow) != 0;
             moved = isLive ? std::next(moved) : this->movesOf.erase(moved);
         }
         for (auto claim = this->claims.begin(); claim != this->claims.end();)
@@ -454,13 +454,13 @@
     this->waits.dropOld(now);
     if (!command.ids.empty())
         this->add(std::move(command), [](const Result<CommandOutcome> &) {});
-    std::vector<LifeNumber> silent;
-    for (const auto &[life, state] : this->lives) {
+    std::vector<IncarnationId> silent;
+    for (const auto &[incarnation, state] : this->incarnations) {
         if (state.session->isForgettable(forgetSilence))
-            silent.push_back(life);
+            silent.push_back(incarnation);
     }
-    for (const LifeNumber life : silent)
-        this->lifeOver(life, LifeEnd::Silent);
+    for (const IncarnationId incarnation : silent)
+        this->lifeOver(incarnation, IncarnationEnd::Silent);
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -62,7 +62,7 @@
 class Controller
 {
 public:
-    Controller(ControllerOptions options, ReplicatedLog &log, BookMachine &machine,
+    Controller(ControllerOptions options, ReplicatedLog &log, WorkflowStoreMachine &machine,
                TargetPort &targets, AdmissionPort &admissions);
     ~Controller();
     Controller(const Controller &) = delete;
@@ -83,20 +83,20 @@
     void evacuate(const std::string &failureDomain, bool isEvacuated, Done<CommandOutcome> done);
     /// True if all targets known for \a queue take nothing new since their failure domains are
     /// evacuated.
-    bool isShutOut(const std::string &queue) const;
+    bool isFullyEvacuated(const std::string &queue) const;
     /// Waits until a quorum has confirmed that this controller still led when asked.
-    void confirm(Done<Nothing> done);
+    void confirmLeadership(Done<Nothing> done);
 
     /// A heartbeat. \a done: it is known, and nothing new will be started on a draining target.
-    void targetHeard(const TargetReport &report, const Done<Nothing> &done);
+    void heartbeatReceived(const TargetReport &report, const Done<Nothing> &done);
     /// A target has said that its life is over.
-    void targetLeft(const std::string &name, std::int64_t bornAtMs, const Done<Nothing> &done);
+    void targetLeft(const std::string &name, std::int64_t startedAtMs, const Done<Nothing> &done);
 
-    const BookMachine &book() const { return this->machine; }
+    const WorkflowStoreMachine &store() const { return this->machine; }
     const Policy &policy() const { return this->inForce; }
     /// Targets that new work may go to.
     std::size_t usableTargets() const;
-    std::size_t knownTargets() const { return this->lives.size(); }
+    std::size_t knownTargets() const { return this->incarnations.size(); }
     /// How late the newest periodic action ran: what waits in the loop waits at least that long.
     Microseconds loopLag() const { return this->lag; }
     /// Workflows of \a queue that are not over and of which, as far as is known here, no task has
@@ -133,47 +133,49 @@
     void batchStored(const Proposed &proposed, const Result<std::string> &outcome);
     static void tellOutcomes(const Proposed &proposed, const Result<CommandOutcomes> &outcomes);
     void plan(std::vector<Pending> &batch);
-    std::vector<OpenTarget> openTargets(const Book &book) const;
+    std::vector<OpenTarget> openTargets(const WorkflowStore &store) const;
     void placed(const PlaceRuns &command, CommandOutcome outcome);
-    void countFirstStart(const PlaceRuns &command, const Book &book) const;
+    void countFirstStart(const PlaceRuns &command, const WorkflowStore &store) const;
     void countOver(const std::vector<WorkflowId> &touched, std::int64_t atMs);
     void settle(const std::vector<WorkflowId> &touched, std::int64_t atMs);
-    void noteCrash(LifeNumber life, LifeEnd how);
-    void crashStored(LifeNumber life, const std::vector<TaskAddress> &tasks, std::int64_t atMs);
-    void noteAlive(LifeNumber life);
+    void noteCrash(IncarnationId incarnation, IncarnationEnd how);
+    void crashStored(IncarnationId incarnation, const std::vector<TaskAddress> &tasks,
+                     std::int64_t atMs);
+    void noteAlive(IncarnationId incarnation);
     bool hasBegun(const Workflow &workflow) const;
-    void takeReport(LifeNumber life, const TargetReport &report, const Done<Nothing> &done);
-    void setDraining(LifeNumber life, bool isDraining, const Done<Nothing> &done);
+    void takeReport(IncarnationId incarnation, const TargetReport &report,
+                    const Done<Nothing> &done);
+    void setDraining(IncarnationId incarnation, bool isDraining, const Done<Nothing> &done);
     void domainChanged(const std::string &failureDomain, bool isEvacuated, CommandOutcome outcome);
     void ask(const AdmissionQuery &query);
     void answered(const AdmissionQuery &query, Instant askedAt,
                   const Result<AdmissionPort::Admitted> &answer);
 
-    TargetSession &openSession(LifeNumber life, const LifeRecord &record);
+    TargetSession &openSession(IncarnationId incarnation, const IncarnationRecord &record);
     void openAll();
     void beginSome(std::size_t most);
-    void runsOver(LifeNumber life, std::vector<RunEnd> ends);
-    void lifeOver(LifeNumber life, LifeEnd how);
-    void neverStarted(LifeNumber life, const TaskAddress &task, RunNumber run);
-    void forgetLife(LifeNumber life);
-    using PlacedTasks = std::vector<std::pair<LifeNumber, TaskAddress>>;
+    void runsOver(IncarnationId incarnation, std::vector<RunEnd> ends);
+    void lifeOver(IncarnationId incarnation, IncarnationEnd how);
+    void neverStarted(IncarnationId incarnation, const TaskAddress &task, RunNumber run);
+    void forgetLife(IncarnationId incarnation);
+    using PlacedTasks = std::vector<std::pair<IncarnationId, TaskAddress>>;
     static void addPlaced(const StepAddress &address, const StepProgress &step, PlacedTasks &to);
     void stopAll(WorkflowId id, std::string_view why, const PlacedTasks &placed);
     void stopPlaced(WorkflowId id);
     void stopOrphans();
-    void runsListed(LifeNumber life, const std::vector<RunningTask> &running);
+    void runsListed(IncarnationId incarnation, const std::vector<RunningTask> &running);
     std::vector<ExpectedRun> expectedOf(const std::vector<RunningTask> &running) const;
-    void moveStalled(LifeNumber life, const ProgressMonitor &progress);
+    void moveStalled(IncarnationId incarnation, const ProgressMonitor &progress);
     void refreshPolicy();
     void tick(std::uint64_t inTerm);
     void forgetOld();
     /// The policy of the queue that the workflow is in, or null.
-    const QueuePolicy *queueOf(WorkflowId id, const Book &book) const;
+    const QueuePolicy *queueOf(WorkflowId id, const WorkflowStore &store) const;
     Error notLeading() const;
 
     ControllerOptions options;
     ReplicatedLog &log;
-    BookMachine &machine;
+    WorkflowStoreMachine &machine;
     TargetPort &targets;
     AdmissionPort &admissionPort;
     WorkflowMetrics metrics;
@@ -191,8 +193,8 @@
     std::int64_t countedAtMs = 0;
     std::vector<Pending> pending;
     std::vector<Done<Nothing>> waitingBarriers;
-    std::map<LifeNumber, LifeState> lives;
-    std::deque<LifeNumber> unbegun; ///< whose sessions have not asked their targets yet
+    std::map<IncarnationId, LifeState> incarnations;
+    std::deque<IncarnationId> unbegun; ///< whose sessions have not asked their targets yet
     TargetHealth health;
     std::map<TaskAddress, unsigned> movesOf; ///< runs stopped because their target had stalled
     AdmissionTable admissions;
--- a/src/workflows/controlleradmissions.cpp
+++ b/src/workflows/controlleradmissions.cpp
@@ -28,18 +28,18 @@
 {
     std::vector<std::string> names;
     double expectedMs = 0.0;
-    this->machine.read([&](const Book &book) {
-        const QueuePolicy *queue = this->queueOf(query.step.workflow, book);
+    this->machine.read([&](const WorkflowStore &store) {
+        const QueuePolicy *queue = this->queueOf(query.step.workflow, store);
         if (queue != nullptr) {
             expectedMs = queue->queryBaseMs
                 + queue->queryMsPerTarget * static_cast<double>(query.targets.size());
         }
-        for (const LifeNumber life : query.targets) {
-            if (const LifeRecord *record = book.find(life))
+        for (const IncarnationId incarnation : query.targets) {
+            if (const IncarnationRecord *record = store.find(incarnation))
                 names.push_back(record->identity.name);
         }
     });
-    std::set<LifeNumber> &asked = this->admissions[query.step].asked;
+    std::set<IncarnationId> &asked = this->admissions[query.step].asked;
     if (asked.empty())
         this->claims.erase(query.step); // of an earlier round
     asked.insert(query.targets.begin(), query.targets.end());
@@ -70,37 +70,37 @@
     if (found == this->admissions.end())
         return;
     StepAdmissions &known = found->second;
-    const bool isExploring =
-        std::none_of(query.targets.begin(), query.targets.end(),
-                     [&known](LifeNumber life) { return known.admitted.count(life) != 0; });
-    for (const LifeNumber life : query.targets)
-        known.asked.erase(life);
+    const bool isExploring = std::none_of(
+        query.targets.begin(), query.targets.end(),
+        [&known](IncarnationId incarnation) { return known.admitted.count(incarnation) != 0; });
+    for (const IncarnationId incarnation : query.targets)
+        known.asked.erase(incarnation);
     if (!answer) {
         known.nextQueryAt = now + adviceRetryPause;
         this->claims.erase(query.step);
         logAdmissionFailed(query.step, answer.error());
         return;
     }
-    this->machine.read([&](const Book &book) {
-        const QueuePolicy *queue = this->queueOf(query.step.workflow, book);
+    this->machine.read([&](const WorkflowStore &store) {
+        const QueuePolicy *queue = this->queueOf(query.step.workflow, store);
         if (queue == nullptr)
             return;
         const std::map<std::string, std::string> tickets(answer.value().begin(),
                                                          answer.value().end());
         if (isExploring) {
-            const std::string &name = book.find(query.step.workflow)->spec.queue;
+            const std::string &name = store.find(query.step.workflow)->spec.queue;
             this->admittedFractions[name].answered(query.targets.size(), tickets.size());
         }
-        for (const LifeNumber life : query.targets) {
-            const LifeRecord *record = book.find(life);
+        for (const IncarnationId incarnation : query.targets) {
+            const IncarnationRecord *record = store.find(incarnation);
             const auto ticket =
                 record == nullptr ? tickets.end() : tickets.find(record->identity.name);
             if (ticket == tickets.end()) {
-                known.refused.insert(life);
+                known.refused.insert(incarnation);
                 continue;
             }
-            known.admitted[life] = {ticket->second,
-                                    now + Milliseconds(queue->admissionValidMs) - ticketAge};
+            known.admitted[incarnation] = {ticket->second,
+                                           now + Milliseconds(queue->admissionValidMs) - ticketAge};
         }
     });
     logAdmissionAnswered(query.step, query.targets.size(), answer.value().size());
--- a/src/workflows/controllercounts.cpp
+++ b/src/workflows/controllercounts.cpp
@@ -11,9 +11,9 @@
 
 /// All tasks that have been placed in the occurrence are those of this command, and their first
 /// runs.
-void Controller::countFirstStart(const PlaceRuns &command, const Book &book) const
+void Controller::countFirstStart(const PlaceRuns &command, const WorkflowStore &store) const
 {
-    const Workflow &workflow = *book.find(command.step.workflow);
+    const Workflow &workflow = *store.find(command.step.workflow);
     std::size_t begun = 0;
     for (const StepProgress &step : workflow.occurrences[command.step.occurrence]) {
         for (const TaskProgress &task : step.tasks)
@@ -32,9 +32,9 @@
 {
     if (std::exchange(this->countedAtMs, atMs) != atMs)
         this->countedOver.clear();
-    this->machine.read([&](const Book &book) {
+    this->machine.read([&](const WorkflowStore &store) {
         for (const WorkflowId id : touched) {
-            const Workflow *workflow = book.find(id);
+            const Workflow *workflow = store.find(id);
             const bool isOver =
                 workflow != nullptr && workflow->isOver() && workflow->endedAtMs == atMs;
             if (isOver && this->countedOver.insert(id).second) {
@@ -47,10 +47,10 @@
 
 std::size_t Controller::waitingIn(const std::string &queue) const
 {
-    return this->machine.read([&](const Book &book) {
+    return this->machine.read([&](const WorkflowStore &store) {
         return static_cast<std::size_t>(
-            std::count_if(book.live().begin(), book.live().end(), [&](WorkflowId id) {
-                const Workflow *workflow = book.find(id);
+            std::count_if(store.live().begin(), store.live().end(), [&](WorkflowId id) {
+                const Workflow *workflow = store.find(id);
                 return workflow->spec.queue == queue && !workflow->isOver()
                     && !this->hasBegun(*workflow);
             }));
@@ -65,9 +65,9 @@
     const auto isBegun = [&](const TaskProgress &task, const TaskAddress &address) {
         if (task.phase == TaskPhase::Succeeded || task.failures > 0 || !task.checkpoint.empty())
             return true;
-        const auto life = this->lives.find(task.life);
-        return task.phase == TaskPhase::Placed && life != this->lives.end()
-            && life->second.session->hasBegun(address);
+        const auto incarnation = this->incarnations.find(task.incarnation);
+        return task.phase == TaskPhase::Placed && incarnation != this->incarnations.end()
+            && incarnation->second.session->hasBegun(address);
     };
     for (std::uint32_t k = 0; k < workflow.occurrences.size(); ++k) {
         for (std::size_t i = 0; i < workflow.occurrences[k].size(); ++i) {
--- a/src/workflows/controllerdomains.cpp
+++ b/src/workflows/controllerdomains.cpp
@@ -27,7 +27,7 @@
 {
     std::size_t targetsThere = 0;
     std::size_t runsThere = 0;
-    for (const auto &[life, state] : this->lives) {
+    for (const auto &[incarnation, state] : this->incarnations) {
         if (state.session->identity().failureDomain != failureDomain)
             continue;
         state.session->setEvacuated(isEvacuated);
@@ -38,19 +38,19 @@
         logDomainEvacuation(failureDomain, isEvacuated, targetsThere, runsThere);
 }
 
-bool Controller::isShutOut(const std::string &queue) const
+bool Controller::isFullyEvacuated(const std::string &queue) const
 {
     const QueuePolicy *policy = this->inForce.queue(queue);
     if (policy == nullptr)
         return false;
-    return this->machine.read([&](const Book &book) {
-        if (book.evacuatedDomains().empty())
+    return this->machine.read([&](const WorkflowStore &store) {
+        if (store.evacuatedDomains().empty())
             return false;
         std::size_t evacuated = 0;
-        for (const auto &[life, record] : book.lives()) {
+        for (const auto &[incarnation, record] : store.incarnations()) {
             if (record.identity.service != policy->service)
                 continue;
-            if (book.evacuatedDomains().count(record.identity.failureDomain) == 0)
+            if (store.evacuatedDomains().count(record.identity.failureDomain) == 0)
                 return false;
             ++evacuated;
         }
--- a/src/workflows/controllerstops.cpp
+++ b/src/workflows/controllerstops.cpp
@@ -21,7 +21,7 @@
 {
     for (std::size_t t = 0; t < step.tasks.size(); ++t) {
         if (step.tasks[t].phase == TaskPhase::Placed)
-            to.emplace_back(step.tasks[t].life,
+            to.emplace_back(step.tasks[t].incarnation,
                             TaskAddress{address, static_cast<std::uint16_t>(t)});
     }
 }
@@ -29,9 +29,9 @@
 void Controller::stopAll(WorkflowId id, std::string_view why, const PlacedTasks &placed)
 {
     std::size_t stopped = 0;
-    for (const auto &[life, task] : placed) {
-        const auto found = this->lives.find(life);
-        if (found != this->lives.end() && found->second.session->stop(task))
+    for (const auto &[incarnation, task] : placed) {
+        const auto found = this->incarnations.find(incarnation);
+        if (found != this->incarnations.end() && found->second.session->stop(task))
             ++stopped;
     }
     if (stopped > 0)
@@ -41,8 +41,8 @@
 void Controller::stopPlaced(WorkflowId id)
 {
     PlacedTasks placed;
-    this->machine.read([&](const Book &book) {
-        const Workflow *workflow = book.find(id);
+    this->machine.read([&](const WorkflowStore &store) {
+        const Workflow *workflow = store.find(id);
         if (workflow == nullptr)
             return;
         for (std::uint32_t k = 0; k < workflow->occurrences.size(); ++k) {
@@ -61,9 +61,9 @@
     const Instant now = this->options.clock();
     std::map<StepAddress, Instant> since;
     std::map<WorkflowId, PlacedTasks> orphans;
-    this->machine.read([&](const Book &book) {
-        for (const WorkflowId id : book.live()) {
-            const Workflow &workflow = *book.find(id);
+    this->machine.read([&](const WorkflowStore &store) {
+        for (const WorkflowId id : store.live()) {
+            const Workflow &workflow = *store.find(id);
             for (std::uint32_t k = 0; k < workflow.occurrences.size(); ++k) {
                 for (std::size_t i = 0; i < workflow.occurrences[k].size(); ++i) {
                     const StepProgress &step = workflow.occurrences[k][i];
@@ -89,9 +89,9 @@
 std::vector<ExpectedRun> Controller::expectedOf(const std::vector<RunningTask> &running) const
 {
     std::vector<ExpectedRun> expected;
-    this->machine.read([&](const Book &book) {
+    this->machine.read([&](const WorkflowStore &store) {
         for (const RunningTask &one : running) {
-            const Workflow *workflow = book.find(one.task.step.workflow);
+            const Workflow *workflow = store.find(one.task.step.workflow);
             if (workflow == nullptr || workflow->isOver() || workflow->task(one.task) == nullptr)
                 continue;
             const StepSpec &spec = workflow->spec.steps[one.task.step.step];
@@ -102,33 +102,33 @@
     return expected;
 }
 
-void Controller::runsListed(LifeNumber life, const std::vector<RunningTask> &running)
+void Controller::runsListed(IncarnationId incarnation, const std::vector<RunningTask> &running)
 {
-    const auto found = this->lives.find(life);
-    if (found == this->lives.end())
+    const auto found = this->incarnations.find(incarnation);
+    if (found == this->incarnations.end())
         return;
-    this->noteAlive(life);
+    this->noteAlive(incarnation);
     ProgressMonitor &progress = found->second.progress;
     progress.listed(running, this->expectedOf(running), this->options.clock());
     if (progress.isStalled())
-        this->moveStalled(life, progress);
+        this->moveStalled(incarnation, progress);
 }
 
 /// Guards against work that waits for a target that answers and does nothing: for 3 to 7 s its runs
 /// stood still, and what was given to it meanwhile as well; three quarters of the short workflows
 /// that came too late to be of use had a run on such a target.
-void Controller::moveStalled(LifeNumber life, const ProgressMonitor &progress)
+void Controller::moveStalled(IncarnationId incarnation, const ProgressMonitor &progress)
 {
     const Instant now = this->options.clock();
-    const TargetTrust before = this->health.trust(life, now);
-    this->health.stalled(life, now);
-    logTargetTrust(life, before, this->health.trust(life, now));
-    const std::shared_ptr<TargetSession> session = this->lives.at(life).session;
+    const TargetTrust before = this->health.trust(incarnation, now);
+    this->health.stalled(incarnation, now);
+    logTargetTrust(incarnation, before, this->health.trust(incarnation, now));
+    const std::shared_ptr<TargetSession> session = this->incarnations.at(incarnation).session;
     for (const TaskAddress &task : progress.runsWorthMoving(this->options.session.stopLimit)) {
         if (this->movesOf[task] >= mostMoves || !session->stop(task))
             continue;
         ++this->movesOf[task];
-        logRunMoved(life, task);
+        logRunMoved(incarnation, task);
     }
 }
 
--- a/src/workflows/controllertargets.cpp
+++ b/src/workflows/controllertargets.cpp
@@ -26,15 +26,16 @@
 /// had no processor time left for the log, elected another, and that one did the same.
 void Controller::openAll()
 {
-    const LifeTable known = this->machine.read([](const Book &book) { return book.lives(); });
-    for (const auto &[life, record] : known) {
-        this->openSession(life, record);
+    const IncarnationTable known =
+        this->machine.read([](const WorkflowStore &store) { return store.incarnations(); });
+    for (const auto &[incarnation, record] : known) {
+        this->openSession(incarnation, record);
         if (!record.placed.empty())
-            this->unbegun.push_back(life);
+            this->unbegun.push_back(incarnation);
     }
-    for (const auto &[life, record] : known) {
+    for (const auto &[incarnation, record] : known) {
         if (record.placed.empty())
-            this->unbegun.push_back(life);
+            this->unbegun.push_back(incarnation);
     }
     this->beginSome(askedAtOnce);
 }
@@ -42,9 +43,9 @@
 void Controller::beginSome(std::size_t most)
 {
     for (std::size_t i = 0; i < most && !this->unbegun.empty(); ++i) {
-        const auto found = this->lives.find(this->unbegun.front());
+        const auto found = this->incarnations.find(this->unbegun.front());
         this->unbegun.pop_front();
-        if (found != this->lives.end())
+        if (found != this->incarnations.end())
             found->second.session->begin();
     }
     if (this->unbegun.empty())
@@ -55,43 +56,43 @@
     });
 }
 
-TargetSession &Controller::openSession(LifeNumber life, const LifeRecord &record)
+TargetSession &Controller::openSession(IncarnationId incarnation, const IncarnationRecord &record)
 {
     TargetSession::Hooks hooks;
-    hooks.runsOver = [this, life](std::vector<RunEnd> ends) {
-        this->runsOver(life, std::move(ends));
+    hooks.runsOver = [this, incarnation](std::vector<RunEnd> ends) {
+        this->runsOver(incarnation, std::move(ends));
     };
-    hooks.listed = [this, life](const std::vector<RunningTask> &running) {
-        this->runsListed(life, running);
+    hooks.listed = [this, incarnation](const std::vector<RunningTask> &running) {
+        this->runsListed(incarnation, running);
     };
     hooks.usableChanged = [this] {
         this->needsPlan = true;
         this->flush();
     };
-    hooks.lifeOver = [this, life] { this->lifeOver(life, LifeEnd::Replaced); };
+    hooks.lifeOver = [this, incarnation] { this->lifeOver(incarnation, IncarnationEnd::Replaced); };
     hooks.runAfter = this->options.runAfter;
     hooks.isCurrent = [this] { return this->isCurrent(); };
     hooks.ownLag = [this] { return this->lag; };
-    auto session =
-        std::make_shared<TargetSession>(life, record.identity, this->term, this->options.session,
-                                        this->targets, std::move(hooks), this->options.clock);
-    this->machine.read([&](const Book &book) {
+    auto session = std::make_shared<TargetSession>(incarnation, record.identity, this->term,
+                                                   this->options.session, this->targets,
+                                                   std::move(hooks), this->options.clock);
+    this->machine.read([&](const WorkflowStore &store) {
         for (const TaskAddress &task : record.placed) {
-            const Workflow *workflow = book.find(task.step.workflow);
+            const Workflow *workflow = store.find(task.step.workflow);
             const TaskProgress *progress = workflow == nullptr ? nullptr : workflow->task(task);
             if (progress == nullptr)
                 continue;
             session->adopt(task, progress->run);
         }
     });
-    this->lives[life].session = session;
+    this->incarnations[incarnation].session = session;
     session->heard(!record.isDraining);
-    session->setEvacuated(this->machine.read([&](const Book &book) {
-        return book.evacuatedDomains().count(record.identity.failureDomain) != 0;
+    session->setEvacuated(this->machine.read([&](const WorkflowStore &store) {
+        return store.evacuatedDomains().count(record.identity.failureDomain) != 0;
     }));
     for (const TaskAddress &task : record.placed) {
-        const bool isOver = this->machine.read([&](const Book &book) {
-            const Workflow *workflow = book.find(task.step.workflow);
+        const bool isOver = this->machine.read([&](const WorkflowStore &store) {
+            const Workflow *workflow = store.find(task.step.workflow);
             return workflow == nullptr || workflow->isOver();
         });
         if (isOver)
@@ -100,35 +101,36 @@
     return *session;
 }
 
-void Controller::runsOver(LifeNumber life, std::vector<RunEnd> ends)
+void Controller::runsOver(IncarnationId incarnation, std::vector<RunEnd> ends)
 {
-    this->machine.read([&](const Book &book) {
+    this->machine.read([&](const WorkflowStore &store) {
         for (RunEnd &end : ends) {
-            const QueuePolicy *queue = this->queueOf(end.task.step.workflow, book);
+            const QueuePolicy *queue = this->queueOf(end.task.step.workflow, store);
             end.maxFailures = queue == nullptr ? neverFailed : queue->maxFailures;
         }
     });
-    logRunsEnded(life, ends);
+    logRunsEnded(incarnation, ends);
     std::vector<WorkflowId> touched;
     touched.reserve(ends.size());
     const Instant now = this->options.clock();
-    const TargetTrust before = this->health.trust(life, now);
+    const TargetTrust before = this->health.trust(incarnation, now);
     for (const RunEnd &end : ends) {
         touched.push_back(end.task.step.workflow);
-        this->health.ended(life, end.task.step.workflow, end.outcome, now);
+        this->health.ended(incarnation, end.task.step.workflow, end.outcome, now);
     }
     this->metrics.runsOver(ends);
-    logTargetTrust(life, before, this->health.trust(life, now));
+    logTargetTrust(incarnation, before, this->health.trust(incarnation, now));
     const std::int64_t atMs = this->options.calendarMs();
     EndRuns command{std::move(ends), atMs};
     this->add(
         std::move(command),
-        [this, life, atMs, touched = std::move(touched)](const Result<CommandOutcome> &outcome) {
+        [this, incarnation, atMs,
+         touched = std::move(touched)](const Result<CommandOutcome> &outcome) {
             if (!outcome)
                 return; // leadership is lost: the next controller learns of the ends by itself
             this->settle(touched, atMs);
-            const auto found = this->lives.find(life);
-            if (found != this->lives.end())
+            const auto found = this->incarnations.find(incarnation);
+            if (found != this->incarnations.end())
                 found->second.session->committed();
         });
 }
@@ -139,8 +141,8 @@
 {
     this->countOver(touched, atMs);
     for (const WorkflowId id : touched) {
-        const bool isLeft = this->machine.read([&](const Book &book) {
-            const Workflow *workflow = book.find(id);
+        const bool isLeft = this->machine.read([&](const WorkflowStore &store) {
+            const Workflow *workflow = store.find(id);
             return workflow != nullptr && workflow->isOver() && workflow->placed > 0;
         });
         if (isLeft)
@@ -148,43 +150,44 @@
     }
 }
 
-void Controller::lifeOver(LifeNumber life, LifeEnd how)
+void Controller::lifeOver(IncarnationId incarnation, IncarnationEnd how)
 {
-    const auto found = this->lives.find(life);
-    if (found == this->lives.end())
+    const auto found = this->incarnations.find(incarnation);
+    if (found == this->incarnations.end())
         return;
     logTargetEnded(found->second.session->identity(), how);
     const std::shared_ptr<TargetSession> session = found->second.session;
     session->declareOver();
-    this->noteCrash(life, how);
-    this->forgetLife(life);
+    this->noteCrash(incarnation, how);
+    this->forgetLife(incarnation);
 }
 
-void Controller::forgetLife(LifeNumber life)
+void Controller::forgetLife(IncarnationId incarnation)
 {
-    this->add(ForgetLife{life}, [this, life](const Result<CommandOutcome> &outcome) {
-        if (outcome && outcome.value() != CommandOutcome::Rejected)
-            this->lives.erase(life);
-        this->health.forget(life);
-    });
+    this->add(ForgetIncarnation{incarnation},
+              [this, incarnation](const Result<CommandOutcome> &outcome) {
+                  if (outcome && outcome.value() != CommandOutcome::Rejected)
+                      this->incarnations.erase(incarnation);
+                  this->health.forget(incarnation);
+              });
 }
 
-void Controller::targetHeard(const TargetReport &report, const Done<Nothing> &done)
+void Controller::heartbeatReceived(const TargetReport &report, const Done<Nothing> &done)
 {
     if (!this->leads) {
         done(this->notLeading());
         return;
     }
-    const LifeNumber newest =
-        this->machine.read([&](const Book &book) { return book.newestLife(report.identity.name); });
-    const auto known = this->lives.find(newest);
+    const IncarnationId newest = this->machine.read(
+        [&](const WorkflowStore &store) { return store.newestIncarnation(report.identity.name); });
+    const auto known = this->incarnations.find(newest);
     const std::int64_t born =
-        known == this->lives.end() ? -1 : known->second.session->identity().bornAtMs;
-    if (born > report.identity.bornAtMs) {
+        known == this->incarnations.end() ? -1 : known->second.session->identity().startedAtMs;
+    if (born > report.identity.startedAtMs) {
         done(Nothing{}); // delayed, from an earlier life: it changes nothing
         return;
     }
-    if (born == report.identity.bornAtMs) {
+    if (born == report.identity.startedAtMs) {
         if (report.sequence >= known->second.sequence) {
             known->second.sequence = report.sequence;
             known->second.session->heard(report.isReady, report.coldFor);
@@ -195,28 +198,30 @@
         return;
     }
     if (born >= 0)
-        this->lifeOver(newest, LifeEnd::Reborn);
+        this->lifeOver(newest, IncarnationEnd::Reborn);
     const std::string name = report.identity.name;
-    this->add(BeginLife{report.identity},
+    this->add(RegisterIncarnation{report.identity},
               [this, name, report, done](const Result<CommandOutcome> &outcome) {
                   if (!outcome) {
                       done(outcome.error());
                       return;
                   }
-                  LifeNumber life = LifeNumber::None;
-                  LifeRecord record;
-                  this->machine.read([&](const Book &book) {
-                      life = book.newestLife(name);
-                      if (const LifeRecord *found = book.find(life))
+                  IncarnationId incarnation = IncarnationId::None;
+                  IncarnationRecord record;
+                  this->machine.read([&](const WorkflowStore &store) {
+                      incarnation = store.newestIncarnation(name);
+                      if (const IncarnationRecord *found = store.find(incarnation))
                           record = *found;
                   });
-                  if (this->leads && life != LifeNumber::None && this->lives.count(life) == 0
-                      && record.identity.bornAtMs == report.identity.bornAtMs) {
+                  if (this->leads && incarnation != IncarnationId::None
+                      && this->incarnations.count(incarnation) == 0
+                      && record.identity.startedAtMs == report.identity.startedAtMs) {
                       logTargetStarted(record.identity);
-                      this->openSession(life, record).begin();
-                      this->lives[life].sequence = report.sequence;
-                      this->lives[life].session->heard(report.isReady, report.coldFor);
-                      this->setDraining(life, !report.isReady, done);
+                      this->openSession(incarnation, record).begin();
+                      this->incarnations[incarnation].sequence = report.sequence;
+                      this->incarnations[incarnation].session->heard(report.isReady,
+                                                                     report.coldFor);
+                      this->setDraining(incarnation, !report.isReady, done);
                       return;
                   }
                   done(Nothing{});
@@ -224,63 +229,66 @@
 }
 
 /// What it says that may change during a life. Acknowledged once it is stored.
-void Controller::takeReport(LifeNumber life, const TargetReport &report, const Done<Nothing> &done)
+void Controller::takeReport(IncarnationId incarnation, const TargetReport &report,
+                            const Done<Nothing> &done)
 {
     Resources before;
-    this->machine.read([&](const Book &book) {
-        const LifeRecord *record = book.find(life);
+    this->machine.read([&](const WorkflowStore &store) {
+        const IncarnationRecord *record = store.find(incarnation);
         before = record == nullptr ? report.identity.capacity : record->identity.capacity;
     });
     if (before == report.identity.capacity) {
-        this->setDraining(life, !report.isReady, done);
+        this->setDraining(incarnation, !report.isReady, done);
         return;
     }
-    const auto resized = [this, life, before, report, done](const Result<CommandOutcome> &outcome) {
+    const auto resized = [this, incarnation, before, report,
+                          done](const Result<CommandOutcome> &outcome) {
         if (!outcome) {
             done(outcome.error());
             return;
         }
         if (outcome.value() == CommandOutcome::Applied)
             logTargetResized(report.identity, before);
-        this->setDraining(life, !report.isReady, done);
+        this->setDraining(incarnation, !report.isReady, done);
     };
-    this->add(ResizeLife{life, report.identity.capacity, report.sequence}, resized);
+    this->add(ResizeIncarnation{incarnation, report.identity.capacity, report.sequence}, resized);
 }
 
 /// Acknowledged once it is stored: a controller that takes over a moment later must not start
 /// anything there either.
-void Controller::setDraining(LifeNumber life, bool isDraining, const Done<Nothing> &done)
+void Controller::setDraining(IncarnationId incarnation, bool isDraining, const Done<Nothing> &done)
 {
-    const bool isKnown = this->machine.read([&](const Book &book) {
-        const LifeRecord *record = book.find(life);
+    const bool isKnown = this->machine.read([&](const WorkflowStore &store) {
+        const IncarnationRecord *record = store.find(incarnation);
         return record == nullptr || record->isDraining == isDraining;
     });
     if (isKnown) {
         done(Nothing{});
         return;
     }
-    this->add(DrainLife{life, isDraining}, [done](const Result<CommandOutcome> &outcome) {
-        if (outcome)
-            done(Nothing{});
-        else
-            done(outcome.error());
-    });
+    this->add(SetIncarnationDraining{incarnation, isDraining},
+              [done](const Result<CommandOutcome> &outcome) {
+                  if (outcome)
+                      done(Nothing{});
+                  else
+                      done(outcome.error());
+              });
 }
 
-void Controller::targetLeft(const std::string &name, std::int64_t bornAtMs,
+void Controller::targetLeft(const std::string &name, std::int64_t startedAtMs,
                             const Done<Nothing> &done)
 {
     if (!this->leads) {
         done(this->notLeading());
         return;
     }
-    const LifeNumber newest =
-        this->machine.read([&](const Book &book) { return book.newestLife(name); });
-    const auto known = this->lives.find(newest);
-    const bool isThisLife = known != this->lives.end()
-        && (bornAtMs == 0 || known->second.session->identity().bornAtMs == bornAtMs);
+    const IncarnationId newest = this->machine.read(
+        [&](const WorkflowStore &store) { return store.newestIncarnation(name); });
+    const auto known = this->incarnations.find(newest);
+    const bool isThisLife = known != this->incarnations.end()
+        && (startedAtMs == 0 || known->second.session->identity().startedAtMs == startedAtMs);
     if (isThisLife && !known->second.session->isOver()) {
-        logTargetEnded(known->second.session->identity(), LifeEnd::Left);
+        logTargetEnded(known->second.session->identity(), IncarnationEnd::Left);
         known->second.session->leave([this, newest] { this->forgetLife(newest); });
     }
     done(Nothing{});
@@ -288,19 +296,19 @@
 
 /// A placement that was under way when its target's life was found to be over: no order for it
 /// has been sent, and none will be.
-void Controller::neverStarted(LifeNumber life, const TaskAddress &task, RunNumber run)
+void Controller::neverStarted(IncarnationId incarnation, const TaskAddress &task, RunNumber run)
 {
     RunEnd end;
     end.task = task;
     end.run = run;
     end.outcome = RunOutcome::NeverStarted;
     this->add(EndRuns{{end}, this->options.calendarMs()}, nullptr);
-    this->forgetLife(life);
+    this->forgetLife(incarnation);
 }
 
-const QueuePolicy *Controller::queueOf(WorkflowId id, const Book &book) const
+const QueuePolicy *Controller::queueOf(WorkflowId id, const WorkflowStore &store) const
 {
-    const Workflow *workflow = book.find(id);
+    const Workflow *workflow = store.find(id);
     return workflow == nullptr ? nullptr : this->inForce.queue(workflow->spec.queue);
 }
 
--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -37,7 +37,7 @@
     std::string places;
     for (const Placement &placement : command.placements) {
         places += (places.empty() ? "" : ",") + std::to_string(placement.index) + "@"
-            + std::to_string(idValue(placement.life));
+            + std::to_string(idValue(placement.incarnation));
     }
     logChange(LogLevel::Information, "placed",
               {{"step", stepName(command.step)},
@@ -71,8 +71,8 @@
     const auto yesNo = [](bool value) { return std::string(value ? "yes" : "no"); };
     logChange(LogLevel::Information, isUsable ? "target-usable" : "target-unusable",
               {{"target", target.name},
-               {"ready", yesNo(standing.saysReady)},
-               {"listed", yesNo(standing.hasLists)},
+               {"ready", yesNo(standing.reportsReady)},
+               {"listed", yesNo(standing.hasRunList)},
                {"fenced", yesNo(standing.isFenced)},
                {"failures", std::to_string(standing.failures)},
                {"foreign", std::to_string(standing.foreignRuns)},
@@ -112,7 +112,7 @@
                {"outcome", std::string(enumName(commandOutcomeNames, outcome))}});
 }
 
-void logRunsEnded(LifeNumber life, const std::vector<RunEnd> &ends)
+void logRunsEnded(IncarnationId incarnation, const std::vector<RunEnd> &ends)
 {
     std::string runs;
     for (const RunEnd &end : ends) {
@@ -120,21 +120,21 @@
             + std::string(enumName(runOutcomeNames, end.outcome));
     }
     logChange(LogLevel::Information, "runs-over",
-              {{"life", std::to_string(idValue(life))}, {"runs", runs}});
+              {{"life", std::to_string(idValue(incarnation))}, {"runs", runs}});
 }
 
-void logRunMoved(LifeNumber life, const TaskAddress &task)
+void logRunMoved(IncarnationId incarnation, const TaskAddress &task)
 {
     logChange(LogLevel::Information, "run-moved",
-              {{"life", std::to_string(idValue(life))}, {"task", taskName(task)}});
+              {{"life", std::to_string(idValue(incarnation))}, {"task", taskName(task)}});
 }
 
-void logTargetTrust(LifeNumber life, TargetTrust before, TargetTrust now)
+void logTargetTrust(IncarnationId incarnation, TargetTrust before, TargetTrust now)
 {
     if (before == now)
         return;
     logChange(LogLevel::Information, "target-trust",
-              {{"life", std::to_string(idValue(life))},
+              {{"life", std::to_string(idValue(incarnation))},
                {"before", std::string(enumName(targetTrustNames, before))},
                {"now", std::string(enumName(targetTrustNames, now))}});
 }
@@ -163,12 +163,12 @@
 {
     logChange(LogLevel::Information, "target-begun",
               {{"target", target.name},
-               {"born", std::to_string(target.bornAtMs)},
+               {"born", std::to_string(target.startedAtMs)},
                {"address", target.address},
                {"service", target.service}});
 }
 
-void logCrash(LifeNumber life, const std::map<TaskAddress, LossCount> &lost,
+void logCrash(IncarnationId incarnation, const std::map<TaskAddress, LossCount> &lost,
               const std::vector<TaskAddress> &givenUp)
 {
     std::string counts;
@@ -179,14 +179,16 @@
     std::string hopeless;
     for (const TaskAddress &task : givenUp)
         hopeless += (hopeless.empty() ? "" : ",") + taskName(task);
-    logChange(
-        LogLevel::Warning, "target-crashed",
-        {{"life", std::to_string(idValue(life))}, {"crashes", counts}, {"givenUp", hopeless}});
+    logChange(LogLevel::Warning, "target-crashed",
+              {{"life", std::to_string(idValue(incarnation))},
+               {"crashes", counts},
+               {"givenUp", hopeless}});
 }
 
-void logTargetAlive(LifeNumber life)
+void logTargetAlive(IncarnationId incarnation)
 {
-    logChange(LogLevel::Information, "target-alive", {{"life", std::to_string(idValue(life))}});
+    logChange(LogLevel::Information, "target-alive",
+              {{"life", std::to_string(idValue(incarnation))}});
 }
 
 void logTargetResized(const TargetIdentity &target, const Resources &before)
@@ -201,12 +203,12 @@
                {"accelerators", change(ResourceKind::Accelerators)}});
 }
 
-void logTargetEnded(const TargetIdentity &target, LifeEnd how)
+void logTargetEnded(const TargetIdentity &target, IncarnationEnd how)
 {
     logChange(LogLevel::Warning, "target-over",
               {{"target", target.name},
-               {"born", std::to_string(target.bornAtMs)},
-               {"how", std::string(enumName(lifeEndNames, how))}});
+               {"born", std::to_string(target.startedAtMs)},
+               {"how", std::string(enumName(incarnationEndNames, how))}});
 }
 
 void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
--- a/src/workflows/decisionlog.h
+++ b/src/workflows/decisionlog.h
@@ -43,11 +43,11 @@
 /// The controller's loop runs late, so that orders and answers wait for it.
 void logLoopLag(Milliseconds lag);
 void logPlacementRejected(const PlaceRuns &command, CommandOutcome outcome);
-void logRunsEnded(LifeNumber life, const std::vector<RunEnd> &ends);
+void logRunsEnded(IncarnationId incarnation, const std::vector<RunEnd> &ends);
 /// A run is stopped, to be begun elsewhere, since its target has stalled.
-void logRunMoved(LifeNumber life, const TaskAddress &task);
+void logRunMoved(IncarnationId incarnation, const TaskAddress &task);
 /// Nothing is written where nothing has changed.
-void logTargetTrust(LifeNumber life, TargetTrust before, TargetTrust now);
+void logTargetTrust(IncarnationId incarnation, TargetTrust before, TargetTrust now);
 void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted);
 void logAdmissionFailed(const StepAddress &step, const Error &error);
 /// An instance that carries orders for \a targets has not answered: they go other ways.
@@ -55,13 +55,13 @@
 void logTargetStarted(const TargetIdentity &target);
 /// The target's process is gone. \a lost: how often targets have crashed under each task that was
 /// lost with it; \a givenUp: those that nothing is started of any more.
-void logCrash(LifeNumber life, const std::map<TaskAddress, LossCount> &lost,
+void logCrash(IncarnationId incarnation, const std::map<TaskAddress, LossCount> &lost,
               const std::vector<TaskAddress> &givenUp);
 /// A target that runs were lost with answers again.
-void logTargetAlive(LifeNumber life);
+void logTargetAlive(IncarnationId incarnation);
 /// The target's room was \a before until now.
 void logTargetResized(const TargetIdentity &target, const Resources &before);
-void logTargetEnded(const TargetIdentity &target, LifeEnd how);
+void logTargetEnded(const TargetIdentity &target, IncarnationEnd how);
 /// \a runs: under way there, or on their way.
 void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
                          std::size_t runs);
--- a/src/workflows/ids.h
+++ b/src/workflows/ids.h
@@ -11,7 +11,7 @@
 enum class WorkflowId : std::uint64_t { None = 0 };
 
 /// One life of a target's process, numbered in the order in which lives were first heard of.
-enum class LifeNumber : std::uint32_t { None = 0 };
+enum class IncarnationId : std::uint32_t { None = 0 };
 
 /// The how-manieth start of a task; the first is 1. Members of a gang share the number.
 using RunNumber = std::uint32_t;
--- a/src/workflows/internal/planroom.cpp
+++ b/src/workflows/internal/planroom.cpp
@@ -21,12 +21,13 @@
 PlanRoom::PlanRoom(const PlanInput &input)
     : input(input)
     , open(input.targets)
-    , accounts(input.book.placedByAccount())
+    , accounts(input.store.placedByAccount())
 {
-    std::sort(this->open.begin(), this->open.end(),
-              [](const OpenTarget &a, const OpenTarget &b) { return a.life < b.life; });
+    std::sort(this->open.begin(), this->open.end(), [](const OpenTarget &a, const OpenTarget &b) {
+        return a.incarnation < b.incarnation;
+    });
     for (const auto &[address, claim] : input.claims) {
-        const Workflow *workflow = input.book.find(address.workflow);
+        const Workflow *workflow = input.store.find(address.workflow);
         const QueuePolicy *queue =
             workflow == nullptr ? nullptr : input.policy.queue(workflow->spec.queue);
         if (queue != nullptr && !workflow->isOver()) {
@@ -46,12 +47,12 @@
     }
 }
 
-OpenTarget *PlanRoom::find(LifeNumber life)
+OpenTarget *PlanRoom::find(IncarnationId incarnation)
 {
-    const auto found =
-        std::lower_bound(this->open.begin(), this->open.end(), life,
-                         [](const OpenTarget &target, LifeNumber l) { return target.life < l; });
-    return found == this->open.end() || found->life != life ? nullptr : &*found;
+    const auto found = std::lower_bound(
+        this->open.begin(), this->open.end(), incarnation,
+        [](const OpenTarget &target, IncarnationId l) { return target.incarnation < l; });
+    return found == this->open.end() || found->incarnation != incarnation ? nullptr : &*found;
 }
 
 void PlanRoom::addClaim(const ReadyStep &step, std::int64_t sign)
@@ -69,16 +70,16 @@
     if (claim == this->input.claims.end() || claim->second.until <= this->input.now)
         return 0;
     std::int64_t tasks = 0;
-    for (const auto &[life, count] : claim->second.tasks)
+    for (const auto &[incarnation, count] : claim->second.tasks)
         tasks += count;
     return tasks * step.spec().reserved()[ResourceKind::MilliCores];
 }
 
-void PlanRoom::addRoom(const ReadyStep &step, const std::map<LifeNumber, std::uint16_t> &tasks,
+void PlanRoom::addRoom(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &tasks,
                        std::int64_t sign)
 {
-    for (const auto &[life, count] : tasks) {
-        if (OpenTarget *target = this->find(life))
+    for (const auto &[incarnation, count] : tasks) {
+        if (OpenTarget *target = this->find(incarnation))
             addTimes(target->free, step.spec().reserved(), sign * count);
     }
 }
@@ -93,7 +94,7 @@
     this->addClaim(step, -1);
 }
 
-void PlanRoom::keep(const ReadyStep &step, const std::map<LifeNumber, std::uint16_t> &claim)
+void PlanRoom::keep(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim)
 {
     this->addRoom(step, claim, -1);
 }
@@ -136,7 +137,7 @@
 bool PlanRoom::mayStart(const ReadyStep &step, const OpenTarget &target) const
 {
     const bool isGood = !step.queue->needsAdmission
-        || (step.admissions != nullptr && step.admissions->admitted.count(target.life) != 0);
+        || (step.admissions != nullptr && step.admissions->admitted.count(target.incarnation) != 0);
     return isGood && PlanRoom::mayRun(step, target)
         && step.spec().reserved().fitsInto(target.identity->capacity);
 }
@@ -154,20 +155,20 @@
     if (step.admissions == nullptr)
         return found;
     const Instant until = this->input.now + ticketReserve;
-    for (const auto &[life, admission] : step.admissions->admitted) {
-        OpenTarget *target = admission.validUntil > until ? this->find(life) : nullptr;
+    for (const auto &[incarnation, admission] : step.admissions->admitted) {
+        OpenTarget *target = admission.validUntil > until ? this->find(incarnation) : nullptr;
         if (target != nullptr && PlanRoom::mayRun(step, *target))
             found.push_back(target);
     }
     return found;
 }
 
-bool PlanRoom::isAdmitted(const ReadyStep &step, LifeNumber life) const
+bool PlanRoom::isAdmitted(const ReadyStep &step, IncarnationId incarnation) const
 {
     if (!step.queue->needsAdmission)
         return true;
     return step.admissions != nullptr
-        && step.admissions->valid(life, this->input.now + ticketReserve) != nullptr;
+        && step.admissions->valid(incarnation, this->input.now + ticketReserve) != nullptr;
 }
 
 } // namespace guavavalve::workflows::internal
--- a/src/workflows/internal/planroom.h
+++ b/src/workflows/internal/planroom.h
@@ -19,7 +19,7 @@
 
     std::vector<OpenTarget> &targets() { return this->open; }
     const std::vector<OpenTarget> &targets() const { return this->open; }
-    OpenTarget *find(LifeNumber life);
+    OpenTarget *find(IncarnationId incarnation);
 
     /// Takes the room out that steps of \a priority and of more urgent ones claim. To be called
     /// with rising priorities: a step may use what less urgent ones claim.
@@ -30,7 +30,7 @@
     void openClaim(const ReadyStep &step);
     void closeClaim(const ReadyStep &step);
     /// Keeps room for a step from the steps that come after it in this plan.
-    void keep(const ReadyStep &step, const std::map<LifeNumber, std::uint16_t> &claim);
+    void keep(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim);
 
     void take(const ReadyStep &step, OpenTarget &target);
     void giveBack(const ReadyStep &step, OpenTarget &target);
@@ -44,7 +44,7 @@
     /// admissions there are still good, or it needs none.
     std::vector<OpenTarget *> admittedTargets(const ReadyStep &step);
     /// The step has an admission there that is still good, or needs none.
-    bool isAdmitted(const ReadyStep &step, LifeNumber life) const;
+    bool isAdmitted(const ReadyStep &step, IncarnationId incarnation) const;
     /// Its tasks may be started there once there is room, for all that is known: their tickets may
     /// have to be renewed first.
     bool mayStart(const ReadyStep &step, const OpenTarget &target) const;
@@ -52,7 +52,7 @@
 private:
     void addClaim(const ReadyStep &step, std::int64_t sign);
     std::int64_t claimOf(const ReadyStep &step) const;
-    void addRoom(const ReadyStep &step, const std::map<LifeNumber, std::uint16_t> &tasks,
+    void addRoom(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &tasks,
                  std::int64_t sign);
 
     const PlanInput &input;
--- a/src/workflows/internal/questionmaker.cpp
+++ b/src/workflows/internal/questionmaker.cpp
@@ -29,18 +29,18 @@
 constexpr double spareRoom = 2.5;
 
 /// The \a most targets that come first by their key.
-std::vector<LifeNumber> firstTargets(std::vector<std::pair<std::int64_t, LifeNumber>> keyed,
-                                     std::size_t most)
+std::vector<IncarnationId> firstTargets(std::vector<std::pair<std::int64_t, IncarnationId>> keyed,
+                                        std::size_t most)
 {
     most = std::min(most, keyed.size());
     std::partial_sort(keyed.begin(), keyed.begin() + static_cast<std::ptrdiff_t>(most),
                       keyed.end());
     keyed.resize(most);
-    std::vector<LifeNumber> lives;
-    lives.reserve(keyed.size());
-    for (const auto &[key, life] : keyed)
-        lives.push_back(life);
-    return lives;
+    std::vector<IncarnationId> incarnations;
+    incarnations.reserve(keyed.size());
+    for (const auto &[key, incarnation] : keyed)
+        incarnations.push_back(incarnation);
+    return incarnations;
 }
 
 /// How long the service takes for a question that names \a targets, or the most that one may.
@@ -118,26 +118,26 @@
 std::vector<AdmissionQuery> AdmissionQueryPlanner::renewGang(const ReadyStep &step,
                                                              const StepAdmissions &known) const
 {
-    std::vector<std::pair<std::uint16_t, LifeNumber>> withRoom;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    std::vector<std::pair<std::uint16_t, IncarnationId>> withRoom;
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target == nullptr || !PlanRoom::mayRun(step, *target))
             continue;
         if (const std::uint16_t slots = slotsOn(step, *target); slots > 0)
-            withRoom.emplace_back(slots, life);
+            withRoom.emplace_back(slots, incarnation);
     }
     std::sort(withRoom.rbegin(), withRoom.rend());
     std::vector<AdmissionQuery> made;
     std::size_t found = 0;
     const std::size_t wanted = step.progress().tasks.size();
-    for (const auto &[slots, life] : withRoom) {
+    for (const auto &[slots, incarnation] : withRoom) {
         if (found >= wanted)
             break;
         if (made.empty() || made.back().targets.size() >= longestQuestion)
             made.push_back({step.address, {}, {}});
         const auto taken = static_cast<std::uint16_t>(std::min<std::size_t>(slots, wanted - found));
-        made.back().targets.push_back(life);
-        made.back().claim[life] = taken;
+        made.back().targets.push_back(incarnation);
+        made.back().claim[incarnation] = taken;
         found += taken;
     }
     if (found < wanted)
@@ -154,25 +154,26 @@
     const std::size_t wanted = enoughCapacity * step.progress().tasks.size();
     const Instant goodUntil =
         this->input.now + askingTime(step, known.admitted.size()) + refreshMargin;
-    std::vector<std::pair<std::int64_t, LifeNumber>> expiring;
+    std::vector<std::pair<std::int64_t, IncarnationId>> expiring;
     std::size_t slots = 0;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target == nullptr || !PlanRoom::mayRun(step, *target))
             continue;
         if (admission.validUntil > goodUntil)
             slots += slotsIn(step, target->identity->capacity);
         else
-            expiring.emplace_back(-target->free[ResourceKind::MilliCores], life);
+            expiring.emplace_back(-target->free[ResourceKind::MilliCores], incarnation);
     }
     std::vector<AdmissionQuery> made;
-    for (const LifeNumber life : firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
+    for (const IncarnationId incarnation :
+         firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
         if (slots >= wanted)
             break;
         if (made.empty() || made.back().targets.size() >= longestQuestion)
             made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(life);
-        slots += slotsIn(step, this->room.find(life)->identity->capacity);
+        made.back().targets.push_back(incarnation);
+        slots += slotsIn(step, this->room.find(incarnation)->identity->capacity);
     }
     return made;
 }
@@ -184,8 +185,8 @@
 bool AdmissionQueryPlanner::knowsEnough(const ReadyStep &step) const
 {
     std::size_t slots = 0;
-    for (const auto &[life, admission] : step.admissions->admitted) {
-        const OpenTarget *target = this->room.find(life);
+    for (const auto &[incarnation, admission] : step.admissions->admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target != nullptr && PlanRoom::mayRun(step, *target))
             slots += slotsIn(step, target->identity->capacity);
     }
@@ -205,12 +206,12 @@
 std::vector<AdmissionQuery> AdmissionQueryPlanner::renewSingles(const ReadyStep &step,
                                                                 const StepAdmissions &known) const
 {
-    std::vector<std::pair<std::int64_t, LifeNumber>> expired;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    std::vector<std::pair<std::int64_t, IncarnationId>> expired;
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target != nullptr && PlanRoom::mayRun(step, *target)
-            && !this->room.isAdmitted(step, life) && slotsOn(step, *target) > 0)
-            expired.emplace_back(-target->free[ResourceKind::MilliCores], life);
+            && !this->room.isAdmitted(step, incarnation) && slotsOn(step, *target) > 0)
+            expired.emplace_back(-target->free[ResourceKind::MilliCores], incarnation);
     }
     if (expired.empty())
         return {};
@@ -222,17 +223,18 @@
 std::vector<AdmissionQuery> AdmissionQueryPlanner::explore(const ReadyStep &step) const
 {
     const StepAdmissions *known = step.admissions;
-    std::vector<std::pair<std::int64_t, LifeNumber>> unknown;
+    std::vector<std::pair<std::int64_t, IncarnationId>> unknown;
     for (const OpenTarget &target : this->room.targets()) {
         const bool isKnown = known != nullptr
-            && (known->admitted.count(target.life) != 0 || known->refused.count(target.life) != 0);
+            && (known->admitted.count(target.incarnation) != 0
+                || known->refused.count(target.incarnation) != 0);
         if (isKnown || !PlanRoom::mayRun(step, target))
             continue;
         if (!step.spec().reserved().fitsInto(target.identity->capacity))
             continue;
         if (known != nullptr && !step.spec().gang && slotsOn(step, target) == 0)
             continue;
-        unknown.emplace_back(-target.free[ResourceKind::MilliCores], target.life);
+        unknown.emplace_back(-target.free[ResourceKind::MilliCores], target.incarnation);
     }
     if (unknown.empty())
         return {};
@@ -249,13 +251,13 @@
 /// other, before it knew where it could run. One about 100 takes 1.3 s.
 std::vector<AdmissionQuery>
 AdmissionQueryPlanner::exploreForGang(const ReadyStep &step,
-                                      const std::vector<LifeNumber> &unknown) const
+                                      const std::vector<IncarnationId> &unknown) const
 {
     const double wanted = spareRoom * static_cast<double>(step.progress().tasks.size());
     const double part = this->admittedPart(step);
     double expected = 0.0;
     std::vector<AdmissionQuery> made;
-    for (const LifeNumber life : unknown) {
+    for (const IncarnationId incarnation : unknown) {
         if (expected >= wanted)
             break;
         const bool isFull = made.empty() || made.back().targets.size() >= longestQuestion;
@@ -263,8 +265,8 @@
             break;
         if (isFull)
             made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(life);
-        expected += part * slotsOn(step, *this->room.find(life));
+        made.back().targets.push_back(incarnation);
+        expected += part * slotsOn(step, *this->room.find(incarnation));
     }
     return made;
 }
--- a/src/workflows/internal/questionmaker.h
+++ b/src/workflows/internal/questionmaker.h
@@ -23,7 +23,7 @@
                                              const StepAdmissions &known) const;
     std::vector<AdmissionQuery> explore(const ReadyStep &step) const;
     std::vector<AdmissionQuery> exploreForGang(const ReadyStep &step,
-                                               const std::vector<LifeNumber> &unknown) const;
+                                               const std::vector<IncarnationId> &unknown) const;
     std::vector<AdmissionQuery> refreshGang(const ReadyStep &step,
                                             const StepAdmissions &known) const;
     bool knowsEnough(const ReadyStep &step) const;
--- a/src/workflows/lifetable.h
+++ b/src/workflows/lifetable.h
@@ -8,7 +8,7 @@
 namespace guavavalve::workflows {
 
 /// A target's life with what is placed on it.
-struct LifeRecord
+struct IncarnationRecord
 {
     TargetIdentity identity;
     Resources used; ///< by what is placed, whether it runs, is on its way or is being stopped
@@ -22,6 +22,6 @@
     }
 };
 
-using LifeTable = std::map<LifeNumber, LifeRecord>;
+using IncarnationTable = std::map<IncarnationId, IncarnationRecord>;
 
 } // namespace guavavalve::workflows
--- a/src/workflows/lossledger.cpp
+++ b/src/workflows/lossledger.cpp
@@ -5,9 +5,9 @@
 
 namespace guavavalve::workflows {
 
-void TargetLossTracker::lost(LifeNumber life, const TaskAddress &task, bool isEarly)
+void TargetLossTracker::lost(IncarnationId incarnation, const TaskAddress &task, bool isEarly)
 {
-    std::vector<Loss> &losses = this->open[life];
+    std::vector<Loss> &losses = this->open[incarnation];
     LossCount &count = this->counts[task];
     const auto known = std::find_if(losses.begin(), losses.end(),
                                     [&](const Loss &loss) { return loss.task == task; });
@@ -23,10 +23,10 @@
 
 /// Takes the open losses of a life from the counts of their tasks. Tasks that were forgotten
 /// meanwhile are left out.
-std::vector<TargetLossTracker::Loss> TargetLossTracker::close(LifeNumber life)
+std::vector<TargetLossTracker::Loss> TargetLossTracker::close(IncarnationId incarnation)
 {
     std::vector<Loss> closed;
-    const auto found = this->open.find(life);
+    const auto found = this->open.find(incarnation);
     if (found == this->open.end())
         return closed;
     for (const Loss &loss : found->second) {
@@ -41,9 +41,9 @@
     return closed;
 }
 
-std::vector<TaskAddress> TargetLossTracker::crashed(LifeNumber life)
+std::vector<TaskAddress> TargetLossTracker::crashed(IncarnationId incarnation)
 {
-    const std::vector<Loss> losses = this->close(life);
+    const std::vector<Loss> losses = this->close(incarnation);
     std::uint16_t mostBefore = 0;
     for (const Loss &loss : losses) {
         if (loss.isEarly)
@@ -60,9 +60,9 @@
     return hopeless;
 }
 
-void TargetLossTracker::survived(LifeNumber life)
+void TargetLossTracker::survived(IncarnationId incarnation)
 {
-    for (const Loss &loss : this->close(life)) {
+    for (const Loss &loss : this->close(incarnation)) {
         const auto count = this->counts.find(loss.task);
         if (count->second.open == 0 && count->second.crashes == 0)
             this->counts.erase(count);
@@ -73,12 +73,12 @@
 {
     if (this->counts.erase(task) == 0)
         return;
-    for (auto life = this->open.begin(); life != this->open.end();) {
-        std::vector<Loss> &losses = life->second;
+    for (auto incarnation = this->open.begin(); incarnation != this->open.end();) {
+        std::vector<Loss> &losses = incarnation->second;
         losses.erase(std::remove_if(losses.begin(), losses.end(),
                                     [&](const Loss &loss) { return loss.task == task; }),
                      losses.end());
-        life = losses.empty() ? this->open.erase(life) : std::next(life);
+        incarnation = losses.empty() ? this->open.erase(incarnation) : std::next(incarnation);
     }
 }
 
@@ -90,10 +90,10 @@
         this->forget(TaskAddress(count->first));
 }
 
-std::vector<TaskAddress> TargetLossTracker::lostWith(LifeNumber life) const
+std::vector<TaskAddress> TargetLossTracker::lostWith(IncarnationId incarnation) const
 {
     std::vector<TaskAddress> tasks;
-    const auto found = this->open.find(life);
+    const auto found = this->open.find(incarnation);
     if (found == this->open.end())
         return tasks;
     for (const Loss &loss : found->second)
--- a/src/workflows/lossledger.h
+++ b/src/workflows/lossledger.h
@@ -28,20 +28,20 @@
     static constexpr unsigned mostCrashes = 5;
 
     /// A run of \a task was lost with the target's life. A life counts once for each task.
-    void lost(LifeNumber life, const TaskAddress &task, bool isEarly);
+    void lost(IncarnationId incarnation, const TaskAddress &task, bool isEarly);
     /// The process of \a life is gone. Returns the tasks that are to be given up now.
-    std::vector<TaskAddress> crashed(LifeNumber life);
+    std::vector<TaskAddress> crashed(IncarnationId incarnation);
     /// The process of \a life goes on, or has ended as planned: its losses count for nothing.
-    void survived(LifeNumber life);
+    void survived(IncarnationId incarnation);
 
     /// The task has succeeded, or has shown that its targets can run it.
     void forget(const TaskAddress &task);
     void forget(WorkflowId workflow);
 
     /// True if it is not known yet whether \a life has crashed with something on it.
-    bool hasOpen(LifeNumber life) const { return this->open.count(life) != 0; }
+    bool hasOpen(IncarnationId incarnation) const { return this->open.count(incarnation) != 0; }
     /// The tasks that were lost with \a life, as long as that is not known.
-    std::vector<TaskAddress> lostWith(LifeNumber life) const;
+    std::vector<TaskAddress> lostWith(IncarnationId incarnation) const;
     LossCount count(const TaskAddress &task) const;
     /// False while targets that may have crashed would make too many of them.
     bool mayStart(const TaskAddress &task) const;
@@ -68,10 +68,10 @@
         }
     };
 
-    std::vector<Loss> close(LifeNumber life);
+    std::vector<Loss> close(IncarnationId incarnation);
 
     std::map<TaskAddress, LossCount> counts;
-    std::map<LifeNumber, std::vector<Loss>> open; ///< by the life that was lost
+    std::map<IncarnationId, std::vector<Loss>> open; ///< by the life that was lost
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -73,8 +73,8 @@
     std::vector<ReadyStep> readySteps() const
     {
         std::vector<ReadyStep> steps;
-        for (const WorkflowId id : this->input.book.live()) {
-            const Workflow *workflow = this->input.book.find(id);
+        for (const WorkflowId id : this->input.store.live()) {
+            const Workflow *workflow = this->input.store.find(id);
             const QueuePolicy *queue =
                 workflow == nullptr ? nullptr : this->input.policy.queue(workflow->spec.queue);
             if (queue != nullptr && !workflow->isOver())
@@ -129,14 +129,14 @@
     /// False while it is not known how many targets the task has crashed.
     bool mayStart(const ReadyStep &step, std::size_t index) const
     {
-        const TargetLossTracker &losses = this->input.book.losses();
+        const TargetLossTracker &losses = this->input.store.losses();
         return losses.isEmpty()
             || losses.mayStart({step.address, static_cast<std::uint16_t>(index)});
     }
 
     bool isSuspect(const ReadyStep &step, std::size_t index) const
     {
-        return this->input.book.losses().isSuspect(
+        return this->input.store.losses().isSuspect(
             {step.address, static_cast<std::uint16_t>(index)});
     }
 
@@ -146,7 +146,7 @@
     {
         for (const Placement &placement : placements) {
             if (this->isSuspect(step, placement.index))
-                this->onTrial.insert(placement.life);
+                this->onTrial.insert(placement.incarnation);
         }
     }
 
@@ -246,12 +246,12 @@
             claim != this->input.claims.end() && claim->second.until > this->input.now;
         if (isClaimed || this->savedMilliCores * partSavedForGangs >= this->allMilliCores)
             return;
-        std::vector<std::pair<std::int64_t, LifeNumber>> byRoom;
+        std::vector<std::pair<std::int64_t, IncarnationId>> byRoom;
         std::size_t holds = 0; // of its tasks, all these targets when they are empty
         for (const OpenTarget &target : this->room.targets()) {
-            if (!this->room.mayStart(step, target) || !this->isTicketNear(step, target.life))
+            if (!this->room.mayStart(step, target) || !this->isTicketNear(step, target.incarnation))
                 continue;
-            byRoom.emplace_back(-target.free[ResourceKind::MilliCores], target.life);
+            byRoom.emplace_back(-target.free[ResourceKind::MilliCores], target.incarnation);
             holds += internal::slotsIn(step, target.identity->capacity);
         }
         if (holds < step.progress().tasks.size())
@@ -262,24 +262,24 @@
     }
 
     /// The step has a ticket there, or one has been asked for.
-    bool isTicketNear(const ReadyStep &step, LifeNumber life) const
+    bool isTicketNear(const ReadyStep &step, IncarnationId incarnation) const
     {
-        return this->room.isAdmitted(step, life)
-            || (step.admissions != nullptr && step.admissions->asked.count(life) != 0);
+        return this->room.isAdmitted(step, incarnation)
+            || (step.admissions != nullptr && step.admissions->asked.count(incarnation) != 0);
     }
 
     /// One task and more on each of the targets, in their order, until all have a place.
-    std::map<LifeNumber, std::uint16_t>
+    std::map<IncarnationId, std::uint16_t>
     firstSlots(const ReadyStep &step,
-               const std::vector<std::pair<std::int64_t, LifeNumber>> &byRoom)
+               const std::vector<std::pair<std::int64_t, IncarnationId>> &byRoom)
     {
-        std::map<LifeNumber, std::uint16_t> saved;
+        std::map<IncarnationId, std::uint16_t> saved;
         std::size_t missing = step.progress().tasks.size();
-        for (const auto &[free, life] : byRoom) {
+        for (const auto &[free, incarnation] : byRoom) {
             const std::size_t slots =
-                std::max<std::size_t>(1, internal::slotsOn(step, *this->room.find(life)));
+                std::max<std::size_t>(1, internal::slotsOn(step, *this->room.find(incarnation)));
             const auto taken = static_cast<std::uint16_t>(std::min(slots, missing));
-            saved[life] = taken;
+            saved[incarnation] = taken;
             missing -= taken;
             if (missing == 0)
                 break;
@@ -292,7 +292,7 @@
     {
         std::map<RunNumber, PlaceRuns> commands; // by run number: each task counts its own starts
         const StepProgress &progress = step.progress();
-        std::map<LifeNumber, std::uint16_t> onTarget = placedByTarget(step);
+        std::map<IncarnationId, std::uint16_t> onTarget = placedByTarget(step);
         bool isWhole = true;
         for (std::size_t i = 0; i < progress.tasks.size(); ++i) {
             if (progress.tasks[i].phase != TaskPhase::Waiting || !this->mayStart(step, i))
@@ -304,12 +304,12 @@
             if (!isWhole)
                 break;
             this->room.take(step, *target);
-            ++onTarget[target->life];
+            ++onTarget[target->incarnation];
             ++this->placedOfStep;
             PlaceRuns &command = commands[progress.tasks[i].run + 1];
             command.step = step.address;
             command.run = progress.tasks[i].run + 1;
-            command.placements.push_back({static_cast<std::uint16_t>(i), target->life});
+            command.placements.push_back({static_cast<std::uint16_t>(i), target->incarnation});
             this->keepAlone(step, {command.placements.back()});
         }
         for (auto &[run, command] : commands)
@@ -334,7 +334,7 @@
 
     bool tryGang(const ReadyStep &step, const std::string *rack)
     {
-        std::map<LifeNumber, std::uint16_t> onTarget;
+        std::map<IncarnationId, std::uint16_t> onTarget;
         std::vector<OpenTarget *> taken;
         PlaceRuns command;
         command.step = step.address;
@@ -348,23 +348,23 @@
             }
             this->room.take(step, *target);
             taken.push_back(target);
-            ++onTarget[target->life];
+            ++onTarget[target->incarnation];
             command.run = std::max(command.run, progress.tasks[i].run + 1);
-            command.placements.push_back({static_cast<std::uint16_t>(i), target->life});
+            command.placements.push_back({static_cast<std::uint16_t>(i), target->incarnation});
         }
         this->keepAlone(step, command.placements);
         this->plan.placements.push_back(std::move(command));
         return true;
     }
 
-    static std::map<LifeNumber, std::uint16_t> placedByTarget(const ReadyStep &step)
+    static std::map<IncarnationId, std::uint16_t> placedByTarget(const ReadyStep &step)
     {
-        std::map<LifeNumber, std::uint16_t> found;
+        std::map<IncarnationId, std::uint16_t> found;
         if (step.spec().maxPerTarget == 0)
             return found;
         for (const TaskProgress &task : step.progress().tasks) {
             if (task.phase == TaskPhase::Placed)
-                ++found[task.life];
+                ++found[task.incarnation];
         }
         return found;
     }
@@ -389,7 +389,7 @@
 
     /// Where the next task of the step fits best; null: nowhere.
     OpenTarget *bestTarget(const ReadyStep &step, std::size_t index,
-                           const std::map<LifeNumber, std::uint16_t> &onTarget,
+                           const std::map<IncarnationId, std::uint16_t> &onTarget,
                            const std::string *rack)
     {
         const Resources need = step.spec().reserved();
@@ -398,16 +398,17 @@
         OpenTarget *best = nullptr;
         std::tuple<bool, bool, std::size_t, bool, std::int64_t> bestScore;
         for (OpenTarget *target : this->candidates) {
-            if (!need.fitsInto(target->free) || this->onTrial.count(target->life) != 0
+            if (!need.fitsInto(target->free) || this->onTrial.count(target->incarnation) != 0
                 || (rack != nullptr && target->identity->rack != *rack))
                 continue;
-            const auto here = onTarget.find(target->life);
+            const auto here = onTarget.find(target->incarnation);
             const std::uint16_t count = here == onTarget.end() ? 0 : here->second;
             if (step.spec().maxPerTarget != 0 && count >= step.spec().maxPerTarget)
                 continue;
             const bool isFar =
                 !step.spec().dataRack.empty() && target->identity->rack != step.spec().dataRack;
-            const bool wasThere = task.run > 0 && task.life == target->life; // in vain
+            const bool wasThere =
+                task.run > 0 && task.incarnation == target->incarnation; // in vain
             const std::tuple score{wasThere, target->isCold, isSuspect ? target->occupants : 0,
                                    isFar, target->free[ResourceKind::MilliCores]};
             if (best == nullptr || score < bestScore) {
@@ -422,7 +423,8 @@
     PlanRoom room;
     AdmissionQueryPlanner queries;
     std::vector<OpenTarget *> candidates; ///< where the step that is being placed is admitted
-    std::set<LifeNumber> onTrial; ///< targets that this plan has given a task that may crash them
+    std::set<IncarnationId>
+        onTrial; ///< targets that this plan has given a task that may crash them
     std::size_t placedOfStep = 0; ///< of the step that is being placed, if it is no gang
     std::int64_t allMilliCores = 0; ///< of all open targets
     std::int64_t savedMilliCores = 0; ///< let gather for gangs
--- a/src/workflows/planner.h
+++ b/src/workflows/planner.h
@@ -17,7 +17,7 @@
 /// A target that may be given something now.
 struct OpenTarget
 {
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
     const TargetIdentity *identity = nullptr;
     Resources free;
     bool onProbation = false; ///< takes one task that is no member of a gang
@@ -29,8 +29,8 @@
 struct AdmissionQuery
 {
     StepAddress step;
-    std::vector<LifeNumber> targets; ///< the likeliest first
-    std::map<LifeNumber, std::uint16_t> claim; ///< room to be kept until the answer
+    std::vector<IncarnationId> targets; ///< the likeliest first
+    std::map<IncarnationId, std::uint16_t> claim; ///< room to be kept until the answer
 };
 
 /// What a plan left waiting, for the log.
@@ -56,7 +56,7 @@
 /// Everything that a plan depends on.
 struct PlanInput
 {
-    const Book &book;
+    const WorkflowStore &store;
     const Policy &policy;
     const AdmissionTable &admissions;
     const ClaimTable &claims;
--- a/src/workflows/reportfilter.cpp
+++ b/src/workflows/reportfilter.cpp
@@ -39,7 +39,7 @@
 /// Guards against the reports of all targets that reach a controller at once after a restart of all
 /// instances: they pass one after the other within the interval. Only once for each target: an
 /// instance that does not reach the controller must not go on answering for it.
-bool ReportFilter::takeStored(const TargetReport &report, Instant now)
+bool ReportFilter::acknowledgeStored(const TargetReport &report, Instant now)
 {
     const auto spread = std::hash<std::string>()(report.identity.name)
         % static_cast<std::size_t>(passInterval.count());
--- a/src/workflows/reportfilter.h
+++ b/src/workflows/reportfilter.h
@@ -31,7 +31,7 @@
     void acknowledged(const TargetReport &report, Instant now);
     /// \a report says what is stored. If nothing was known of its target here, it counts as
     /// acknowledged, one of its next repetitions goes to the controller, and the outcome is true.
-    bool takeStored(const TargetReport &report, Instant now);
+    bool acknowledgeStored(const TargetReport &report, Instant now);
     /// The target has said goodbye, or its word was not taken.
     void forget(const std::string &targetName);
 
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -76,7 +76,7 @@
     const Instant now = this->options.clock();
     CarriedOrder carried;
     carried.target = target.name;
-    carried.bornAtMs = target.bornAtMs;
+    carried.startedAtMs = target.startedAtMs;
     carried.address = target.address;
     carried.order = order;
     carried.answerWithinMs = msUntil(deadline - wayBack, now);
--- a/src/workflows/targetagentservice.cpp
+++ b/src/workflows/targetagentservice.cpp
@@ -28,7 +28,7 @@
 {
     TargetIdentity target;
     target.name = carried.target;
-    target.bornAtMs = carried.bornAtMs;
+    target.startedAtMs = carried.startedAtMs;
     target.address = carried.address;
     return target;
 }
--- a/src/workflows/targethealth.cpp
+++ b/src/workflows/targethealth.cpp
@@ -30,7 +30,7 @@
 unsigned TargetHealth::tolerated() const
 {
     std::size_t failing = 0;
-    for (const auto &[life, record] : this->records)
+    for (const auto &[incarnation, record] : this->records)
         failing += record.failuresInARow > 0 ? 1 : 0;
     const double seen = this->records.empty()
         ? 0.0
@@ -40,15 +40,16 @@
     return std::max(fewestFailures, row);
 }
 
-void TargetHealth::ended(LifeNumber life, WorkflowId workflow, RunOutcome outcome, Instant now)
+void TargetHealth::ended(IncarnationId incarnation, WorkflowId workflow, RunOutcome outcome,
+                         Instant now)
 {
     if (outcome == RunOutcome::Succeeded) {
-        this->records[life] = {};
+        this->records[incarnation] = {};
         return;
     }
     if (outcome != RunOutcome::Failed && outcome != RunOutcome::Refused)
         return;
-    Record &record = this->records[life];
+    Record &record = this->records[incarnation];
     if (record.failuresInARow > 0 && record.lastFailed == workflow)
         return;
     ++record.failuresInARow;
@@ -67,16 +68,16 @@
     ++record.suspensions;
 }
 
-void TargetHealth::stalled(LifeNumber life, Instant now)
+void TargetHealth::stalled(IncarnationId incarnation, Instant now)
 {
-    Record &record = this->records[life];
+    Record &record = this->records[incarnation];
     if (now >= record.suspendedUntil)
         TargetHealth::suspend(record, now);
 }
 
-void TargetHealth::forget(LifeNumber life)
+void TargetHealth::forget(IncarnationId incarnation)
 {
-    this->records.erase(life);
+    this->records.erase(incarnation);
 }
 
 void TargetHealth::clear()
@@ -84,17 +85,17 @@
     this->records.clear();
 }
 
-TargetTrust TargetHealth::trust(LifeNumber life, Instant now) const
+TargetTrust TargetHealth::trust(IncarnationId incarnation, Instant now) const
 {
-    const auto found = this->records.find(life);
+    const auto found = this->records.find(incarnation);
     if (found == this->records.end() || found->second.suspensions == 0)
         return TargetTrust::Trusted;
     return now < found->second.suspendedUntil ? TargetTrust::Suspended : TargetTrust::Probation;
 }
 
-bool TargetHealth::hasProbationExpired(LifeNumber life, Instant now) const
+bool TargetHealth::hasProbationExpired(IncarnationId incarnation, Instant now) const
 {
-    const auto found = this->records.find(life);
+    const auto found = this->records.find(incarnation);
     return found == this->records.end() || now > found->second.suspendedUntil + longestProbation;
 }
 
--- a/src/workflows/targethealth.h
+++ b/src/workflows/targethealth.h
@@ -34,19 +34,19 @@
 {
 public:
     /// A run of \a workflow has ended on \a life. Only success, failure and refusal count.
-    void ended(LifeNumber life, WorkflowId workflow, RunOutcome outcome, Instant now);
+    void ended(IncarnationId incarnation, WorkflowId workflow, RunOutcome outcome, Instant now);
     /// What runs on \a life stands still or crawls.
-    void stalled(LifeNumber life, Instant now);
-    void forget(LifeNumber life);
+    void stalled(IncarnationId incarnation, Instant now);
+    void forget(IncarnationId incarnation);
     void clear();
 
-    TargetTrust trust(LifeNumber life, Instant now) const;
+    TargetTrust trust(IncarnationId incarnation, Instant now) const;
 
     /// True if \a life has been on probation for so long that, idle, it may be given anything.
     ///
     /// Guards against a gang that waits for ever: when a cell runs empty, nobody hands in the
     /// single task by which a target that the gang needs could prove itself.
-    bool hasProbationExpired(LifeNumber life, Instant now) const;
+    bool hasProbationExpired(IncarnationId incarnation, Instant now) const;
 
 private:
     struct Record
@@ -60,7 +60,7 @@
     unsigned tolerated() const;
     static void suspend(Record &record, Instant now);
 
-    std::map<LifeNumber, Record> records;
+    std::map<IncarnationId, Record> records;
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/targetlife.h
+++ b/src/workflows/targetlife.h
@@ -18,7 +18,7 @@
 struct TargetIdentity
 {
     std::string name;
-    std::int64_t bornAtMs = 0; ///< its own calendar time; a later life has a larger one
+    std::int64_t startedAtMs = 0; ///< its own calendar time; a later life has a larger one
     std::string address; ///< "ip:port"
     std::string service;
     std::string failureDomain;
@@ -34,7 +34,7 @@
 
     bool operator==(const TargetIdentity &other) const
     {
-        return this->name == other.name && this->bornAtMs == other.bornAtMs
+        return this->name == other.name && this->startedAtMs == other.startedAtMs
             && this->address == other.address && this->service == other.service
             && this->failureDomain == other.failureDomain && this->labels == other.labels
             && this->rack == other.rack && this->capacity.amounts == other.capacity.amounts;
@@ -43,7 +43,7 @@
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->name, this->bornAtMs, this->address, this->service, this->failureDomain,
+        archive(this->name, this->startedAtMs, this->address, this->service, this->failureDomain,
                 this->labels, this->rack, this->capacity);
     }
 };
--- a/src/workflows/targetport.h
+++ b/src/workflows/targetport.h
@@ -137,12 +137,12 @@
     std::int64_t clockMs = 0;
     std::vector<RunningTask> running;
     std::vector<ListedEnd> ends; ///< by number
-    bool isCut = false; ///< there may be more ends than these
+    bool isTruncated = false; ///< there may be more ends than these
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->reply, this->clockMs, this->running, this->ends, this->isCut);
+        archive(this->reply, this->clockMs, this->running, this->ends, this->isTruncated);
     }
 };
 
--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-TargetSession::TargetSession(LifeNumber life, TargetIdentity identity, std::uint64_t term,
+TargetSession::TargetSession(IncarnationId incarnation, TargetIdentity identity, std::uint64_t term,
                              SessionLimits limits, TargetPort &port, Hooks hooks, Clock clock)
-    : number(life)
+    : number(incarnation)
     , who(std::move(identity))
     , term(term)
     , limits(limits)
@@ -92,7 +92,7 @@
 void TargetSession::heard(bool isReady, Milliseconds coldFor)
 {
     this->heardAt = this->clock();
-    this->saysReady = isReady;
+    this->reportsReady = isReady;
     this->coldUntil = this->heardAt + coldFor;
     this->noteUsable();
 }
@@ -146,8 +146,8 @@
 {
     if (this->hasEnded)
         return;
-    if (this->failures >= blindQuestions && this->clock() > this->lapsesAt && this->hasLists) {
-        this->hasLists = false; // what it says next is compared with an empty table
+    if (this->failures >= blindQuestions && this->clock() > this->lapsesAt && this->hasRunList) {
+        this->hasRunList = false; // what it says next is compared with an empty table
         this->reportLost();
     } else if (this->failures > 0 && this->clock() > this->lapsesAt && !this->runs.empty()) {
         this->reportLost();
@@ -158,7 +158,7 @@
 bool TargetSession::isUsable() const
 {
     const Instant now = this->clock();
-    return !this->isOver() && this->hasLists && !this->isFenced && this->saysReady
+    return !this->isOver() && this->hasRunList && !this->isFenced && this->reportsReady
         && this->failures == 0 && this->foreign.empty() && now >= this->unreachableUntil
         && now < this->answeredAt + this->limits.holdWait + this->limits.orderLimit + this->ownLag()
         && !this->hasUnansweredStart(now);
@@ -203,7 +203,7 @@
     const auto age =
         this->answeredAt == Instant{} ? Microseconds{} : this->clock() - this->answeredAt;
     logTargetUsable(this->who, isNow,
-                    {this->saysReady, this->hasLists, this->isFenced, this->failures,
+                    {this->reportsReady, this->hasRunList, this->isFenced, this->failures,
                      this->foreign.size(), std::chrono::duration_cast<Milliseconds>(age)});
     this->hooks.usableChanged();
 }
@@ -281,7 +281,7 @@
     order.term = this->term;
     order.lastSeen = this->stored;
     order.leaseUntilMs = this->grantLease();
-    order.waitMs = this->hasLists && this->failures == 0 ? this->limits.holdWait.count() : 0;
+    order.waitMs = this->hasRunList && this->failures == 0 ? this->limits.holdWait.count() : 0;
     const Instant now = this->clock();
     const Instant deadline = now + Milliseconds(order.waitMs) + this->limits.orderLimit;
     this->port.hold(this->who, order, deadline,
@@ -329,9 +329,9 @@
     std::vector<RunEnd> over;
     this->takeEnds(answer, over);
     this->takeRunning(answer);
-    if (!answer.isCut)
+    if (!answer.isTruncated)
         this->findMissing(answer, sentAt, over);
-    this->hasLists = this->hasLists || !answer.isCut;
+    this->hasRunList = this->hasRunList || !answer.isTruncated;
     if (this->hooks.listed)
         this->hooks.listed(answer.running);
     if (over.empty()) {
@@ -504,7 +504,7 @@
 
 void TargetSession::sendAgain(const TaskAddress &task, Run &run)
 {
-    const bool isClosed = this->isEvacuated || !this->saysReady;
+    const bool isClosed = this->isEvacuated || !this->reportsReady;
     const bool isOverdue = this->clock() > run.placedAt + this->limits.startLimit;
     if ((isClosed || isOverdue) && !run.isStopWanted)
         this->settleByStop(task, run);
--- a/src/workflows/targetsession.h
+++ b/src/workflows/targetsession.h
@@ -66,10 +66,10 @@
         std::function<Microseconds()> ownLag;
     };
 
-    TargetSession(LifeNumber life, TargetIdentity identity, std::uint64_t term,
+    TargetSession(IncarnationId incarnation, TargetIdentity identity, std::uint64_t term,
                   SessionLimits limits, TargetPort &port, Hooks hooks, Clock clock);
 
-    LifeNumber life() const { return this->number; }
+    IncarnationId incarnation() const { return this->number; }
     const TargetIdentity &identity() const { return this->who; }
 
     /// Begins to ask. Orders adopted before are those of earlier terms.
@@ -163,7 +163,7 @@
     bool isEarly(const Run &run) const;
     void noteUsable();
 
-    LifeNumber number;
+    IncarnationId number;
     TargetIdentity who;
     std::uint64_t term;
     SessionLimits limits;
@@ -178,12 +178,12 @@
     std::size_t reportsUnderWay = 0;
     bool waitsForStore = false;
     bool isHolding = false;
-    bool hasLists = false; ///< asked in this term, and since a lapse
+    bool hasRunList = false; ///< asked in this term, and since a lapse
     bool isFenced = false;
     bool hasEnded = false;
     bool isLeaving = false;
     std::function<void()> whenGone;
-    bool saysReady = false;
+    bool reportsReady = false;
     bool isEvacuated = false;
     Instant coldUntil{};
     bool wasUsable = false;
--- a/src/workflows/targetstanding.h
+++ b/src/workflows/targetstanding.h
@@ -7,8 +7,8 @@
 /// What decides whether new work may go to a target.
 struct TargetStanding
 {
-    bool saysReady = false; ///< its newest heartbeat; false: it drains
-    bool hasLists = false; ///< it has been asked what runs there, in this term and since a lapse
+    bool reportsReady = false; ///< its newest heartbeat; false: it drains
+    bool hasRunList = false; ///< it has been asked what runs there, in this term and since a lapse
     bool isFenced = false; ///< a later controller has given it orders
     unsigned failures = 0; ///< questions in a row without an answer
     std::size_t foreignRuns = 0; ///< it runs, and that are being stopped
--- a/src/workflows/taskprogress.h
+++ b/src/workflows/taskprogress.h
@@ -31,13 +31,13 @@
     TaskPhase phase = TaskPhase::Waiting;
     RunNumber run = 0; ///< the last one placed; 0: none yet
     std::uint16_t failures = 0;
-    LifeNumber life = LifeNumber::None; ///< where the last run was placed
+    IncarnationId incarnation = IncarnationId::None; ///< where the last run was placed
     std::string checkpoint; ///< the newest that is known; empty: none
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->phase, this->run, this->failures, this->life, this->checkpoint);
+        archive(this->phase, this->run, this->failures, this->incarnation, this->checkpoint);
     }
 };
 
--- a/test/platform/heartbeattest.cpp
+++ b/test/platform/heartbeattest.cpp
@@ -24,7 +24,7 @@
     const auto report = decodeHeartbeat("i-1", beat().dump());
     REQUIRE(report);
     CHECK(report.value().identity.name == "i-1");
-    CHECK(report.value().identity.bornAtMs == 1700);
+    CHECK(report.value().identity.startedAtMs == 1700);
     CHECK(report.value().identity.rack == "r1-3");
     CHECK(report.value().identity.hasLabel("a"));
     CHECK(report.value().identity.capacity[ResourceKind::MilliCores] == 16000);
--- a/test/workflows/bookfixture.h
+++ b/test/workflows/bookfixture.h
@@ -9,15 +9,15 @@
 namespace guavavalve::workflows {
 
 /// A book with targets "t1", "t2" ... and helpers that write its commands in one line each.
-class BookFixture
+class StoreFixture
 {
 public:
     static constexpr WorkflowId job = static_cast<WorkflowId>(7);
 
-    explicit BookFixture(unsigned targets = 3)
+    explicit StoreFixture(unsigned targets = 3)
     {
         for (unsigned i = 1; i <= targets; ++i)
-            this->beginLife("t" + std::to_string(i), 1);
+            this->registerIncarnation("t" + std::to_string(i), 1);
     }
 
     static StepSpec step(std::uint16_t tasks, std::vector<std::uint16_t> dependencies = {})
@@ -47,26 +47,28 @@
         return this->apply(AcceptWorkflow{spec});
     }
 
-    CommandOutcome beginLife(const std::string &name, std::int64_t born)
+    CommandOutcome registerIncarnation(const std::string &name, std::int64_t born)
     {
         TargetIdentity identity;
         identity.name = name;
-        identity.bornAtMs = born;
+        identity.startedAtMs = born;
         identity.service = "s";
         identity.rack = "r0-1";
         identity.capacity[ResourceKind::MilliCores] = 4000;
-        return this->apply(BeginLife{identity});
+        return this->apply(RegisterIncarnation{identity});
     }
 
-    static LifeNumber life(unsigned number) { return static_cast<LifeNumber>(number); }
+    static IncarnationId incarnation(unsigned number) { return static_cast<IncarnationId>(number); }
     static StepAddress at(std::uint16_t step) { return {job, 0, step}; }
 
     /// Places task i of the step on the life at position i.
-    CommandOutcome place(std::uint16_t step, RunNumber run, const std::vector<unsigned> &lives)
+    CommandOutcome place(std::uint16_t step, RunNumber run,
+                         const std::vector<unsigned> &incarnations)
     {
         PlaceRuns command{at(step), run, {}};
-        for (std::size_t i = 0; i < lives.size(); ++i)
-            command.placements.push_back({static_cast<std::uint16_t>(i), life(lives[i])});
+        for (std::size_t i = 0; i < incarnations.size(); ++i)
+            command.placements.push_back(
+                {static_cast<std::uint16_t>(i), incarnation(incarnations[i])});
         return this->apply(command);
     }
 
@@ -77,15 +79,18 @@
             EndRuns{{{{at(step), index}, run, outcome, checkpoint, maxFailures}}, 5});
     }
 
-    CommandOutcome apply(Command command) { return this->book.apply({std::move(command)}).front(); }
+    CommandOutcome apply(Command command)
+    {
+        return this->store.apply({std::move(command)}).front();
+    }
 
-    const Workflow &workflow() const { return *this->book.find(job); }
+    const Workflow &workflow() const { return *this->store.find(job); }
     const TaskProgress &task(std::uint16_t step, std::uint16_t index) const
     {
         return *this->workflow().task({at(step), index});
     }
 
-    Book book;
+    WorkflowStore store;
 };
 
 } // namespace guavavalve::workflows
--- a/test/workflows/booktest.cpp
+++ b/test/workflows/booktest.cpp
@@ -7,7 +7,7 @@
 
 TEST_CASE("a workflow goes through its steps in order and completes", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     CHECK(f.accept({f.step(2), f.step(1, {0})}) == CommandOutcome::Applied);
     CHECK(f.workflow().state() == WorkflowState::Queued);
     CHECK(f.place(1, 1, {1}) == CommandOutcome::Rejected); // its step is not ready
@@ -19,16 +19,16 @@
     CHECK(f.place(1, 1, {3}) == CommandOutcome::Applied);
     f.end(1, 0, 1, RunOutcome::Succeeded);
     CHECK(f.workflow().state() == WorkflowState::Completed);
-    CHECK(f.book.live().empty());
-    CHECK(f.book.find(f.life(1))->used == Resources{});
-    CHECK(f.book.placedByAccount().at("a") == Resources{});
+    CHECK(f.store.live().empty());
+    CHECK(f.store.find(f.incarnation(1))->used == Resources{});
+    CHECK(f.store.placedByAccount().at("a") == Resources{});
 }
 
 TEST_CASE("a workflow that is sent again joins the first", "[book]")
 {
     // A caller loses the answer to its submit and sends it again, to another instance and with the
     // work under way. It must stay one workflow, or each of its tasks would run twice.
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
     CHECK(f.accept({f.step(1)}) == CommandOutcome::Joined);
@@ -37,7 +37,7 @@
 
 TEST_CASE("a task is placed once at a time, with rising run numbers", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     CHECK(f.place(0, 1, {1}) == CommandOutcome::Applied);
     CHECK(f.place(0, 2, {2}) == CommandOutcome::Rejected);
@@ -50,7 +50,7 @@
 {
     // A target is cut off, its run is taken for over and started elsewhere. The target comes back
     // and lists the end of the run that it had: it must not end the one that goes on elsewhere.
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
     f.end(0, 0, 1, RunOutcome::Lost);
@@ -62,7 +62,7 @@
 
 TEST_CASE("only ends by failure count against the attempts", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     RunNumber run = 0;
     for (const RunOutcome harmless : {RunOutcome::Stopped, RunOutcome::Lapsed, RunOutcome::Broken,
@@ -82,7 +82,7 @@
 
 TEST_CASE("a gang fails once for a run, however many members failed", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.gang(3)});
     f.place(0, 1, {1, 2, 3});
     f.end(0, 0, 1, RunOutcome::Failed);
@@ -99,13 +99,13 @@
     // A gang finishes while one of its targets leaves: that member's end is never heard, and it
     // counts as lost; then another member lists the gang's success. The gang was left with some
     // members done and one waiting, never to be started again: its caller waited for ever.
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.gang(3), f.step(1, {0})});
     f.place(0, 1, {1, 2, 3});
     f.end(0, 0, 1, RunOutcome::Lost);
     f.end(0, 1, 1, RunOutcome::Succeeded);
     CHECK(f.workflow().step(f.at(0)).isDone());
-    CHECK(f.book.find(f.life(3))->used == Resources{});
+    CHECK(f.store.find(f.incarnation(3))->used == Resources{});
     f.end(0, 2, 1, RunOutcome::Succeeded); // listed later: nothing more to tell
     CHECK(f.place(1, 1, {1}) == CommandOutcome::Applied);
     f.end(1, 0, 1, RunOutcome::Succeeded);
@@ -114,24 +114,24 @@
 
 TEST_CASE("a cancelled workflow starts nothing more and goes when its tasks have ended", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(2)});
     f.place(0, 1, {1});
     CHECK(f.apply(CancelWorkflow{f.job, 9}) == CommandOutcome::Applied);
     CHECK(f.workflow().state() == WorkflowState::Cancelled);
     CHECK(f.apply(CancelWorkflow{f.job, 9}) == CommandOutcome::Unchanged);
-    CHECK(f.book.live().count(f.job) == 1);
+    CHECK(f.store.live().count(f.job) == 1);
     CHECK(f.apply(ForgetWorkflows{{f.job}}) == CommandOutcome::Applied);
-    CHECK(f.book.find(f.job) != nullptr); // its task is still there
+    CHECK(f.store.find(f.job) != nullptr); // its task is still there
     f.end(0, 0, 1, RunOutcome::Stopped);
-    CHECK(f.book.live().empty());
+    CHECK(f.store.live().empty());
     f.apply(ForgetWorkflows{{f.job}});
-    CHECK(f.book.find(f.job) == nullptr);
+    CHECK(f.store.find(f.job) == nullptr);
 }
 
 TEST_CASE("a lasting task waits again however it ended", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     StepSpec longRunning = f.step(1);
     longRunning.longRunning = true;
     f.accept({longRunning});
@@ -147,7 +147,7 @@
 
 TEST_CASE("checkpoints are carried on, and the newest known one is kept", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
     f.end(0, 0, 1, RunOutcome::Stopped, 2, "half");
@@ -158,58 +158,58 @@
 
 TEST_CASE("an earlier life of a target does not come back", "[book]")
 {
-    BookFixture f(1);
-    CHECK(f.beginLife("t1", 2) == CommandOutcome::Applied);
-    CHECK(f.book.newestLife("t1") == f.life(2));
-    CHECK(f.beginLife("t1", 1) == CommandOutcome::Unchanged);
-    CHECK(f.book.newestLife("t1") == f.life(2));
+    StoreFixture f(1);
+    CHECK(f.registerIncarnation("t1", 2) == CommandOutcome::Applied);
+    CHECK(f.store.newestIncarnation("t1") == f.incarnation(2));
+    CHECK(f.registerIncarnation("t1", 1) == CommandOutcome::Unchanged);
+    CHECK(f.store.newestIncarnation("t1") == f.incarnation(2));
 }
 
 TEST_CASE("a life with something placed on it is not forgotten", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
-    CHECK(f.apply(ForgetLife{f.life(1)}) == CommandOutcome::Rejected);
+    CHECK(f.apply(ForgetIncarnation{f.incarnation(1)}) == CommandOutcome::Rejected);
     f.end(0, 0, 1, RunOutcome::Lost);
-    CHECK(f.apply(ForgetLife{f.life(1)}) == CommandOutcome::Applied);
+    CHECK(f.apply(ForgetIncarnation{f.incarnation(1)}) == CommandOutcome::Applied);
     CHECK(f.place(0, 2, {1}) == CommandOutcome::Rejected);
 }
 
 TEST_CASE("the document of the highest version is in force", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     CHECK(f.apply(StoreDocument{4, "four"}) == CommandOutcome::Applied);
     CHECK(f.apply(StoreDocument{4, "other"}) == CommandOutcome::Unchanged);
     CHECK(f.apply(StoreDocument{3, "three"}) == CommandOutcome::Unchanged);
-    CHECK(f.book.document() == "four");
+    CHECK(f.store.document() == "four");
     CHECK(f.apply(StoreDocument{9, "nine"}) == CommandOutcome::Applied);
-    CHECK(f.book.documentVersion() == 9);
+    CHECK(f.store.documentVersion() == 9);
 }
 
 TEST_CASE("draining is remembered with the life", "[book]")
 {
     // A target says that it drains and is acknowledged; then the controller is lost. The next one
     // has not heard the target, and must not start anything there.
-    BookFixture f;
-    CHECK(f.apply(DrainLife{f.life(1), true}) == CommandOutcome::Applied);
-    Book later;
-    REQUIRE(later.restore(f.book.snapshot()));
-    CHECK(later.find(f.life(1))->isDraining);
-    CHECK(f.apply(DrainLife{f.life(1), true}) == CommandOutcome::Unchanged);
+    StoreFixture f;
+    CHECK(f.apply(SetIncarnationDraining{f.incarnation(1), true}) == CommandOutcome::Applied);
+    WorkflowStore later;
+    REQUIRE(later.restore(f.store.snapshot()));
+    CHECK(later.find(f.incarnation(1))->isDraining);
+    CHECK(f.apply(SetIncarnationDraining{f.incarnation(1), true}) == CommandOutcome::Unchanged);
 }
 
 TEST_CASE("a snapshot holds the whole book, and a broken one changes nothing", "[book]")
 {
-    BookFixture f;
+    StoreFixture f;
     f.accept({f.gang(2), f.step(1, {0})});
     f.place(0, 1, {1, 2});
     f.apply(StoreDocument{4, "four"});
-    const std::string snapshot = f.book.snapshot();
-    Book copy;
+    const std::string snapshot = f.store.snapshot();
+    WorkflowStore copy;
     REQUIRE(copy.restore(snapshot));
     CHECK(copy.snapshot() == snapshot);
-    Book kept;
+    WorkflowStore kept;
     REQUIRE(kept.restore(snapshot));
     for (std::size_t length = 0; length < snapshot.size(); length += 7)
         CHECK(!kept.restore(std::string_view(snapshot).substr(0, length)));
@@ -220,8 +220,8 @@
 // payloads that no target would be sent again. What a caller may ask for stays.
 TEST_CASE("a workflow that is over keeps its outcome and no payload", "[book]")
 {
-    BookFixture fixture;
-    fixture.accept({BookFixture::step(2)});
+    StoreFixture fixture;
+    fixture.accept({StoreFixture::step(2)});
     REQUIRE(fixture.place(0, 1, {1, 2}) == CommandOutcome::Applied);
     fixture.end(0, 0, 1, RunOutcome::Succeeded);
     CHECK(fixture.workflow().spec.payload == "work");
@@ -233,16 +233,16 @@
     CHECK(fixture.workflow().occurrences.empty());
     // A late word of a run that is over, and the same workflow handed in again, change nothing.
     CHECK(fixture.end(0, 1, 1, RunOutcome::Failed) == CommandOutcome::Unchanged);
-    CHECK(fixture.accept({BookFixture::step(2)}) == CommandOutcome::Joined);
+    CHECK(fixture.accept({StoreFixture::step(2)}) == CommandOutcome::Joined);
 }
 
 // A cancelled workflow sheds nothing while runs of it may go on: they are still to be stopped.
 TEST_CASE("a cancelled workflow keeps its tasks until the last run is over", "[book]")
 {
-    BookFixture fixture;
-    fixture.accept({BookFixture::step(1)});
+    StoreFixture fixture;
+    fixture.accept({StoreFixture::step(1)});
     REQUIRE(fixture.place(0, 1, {1}) == CommandOutcome::Applied);
-    fixture.apply(CancelWorkflow{BookFixture::job, 5});
+    fixture.apply(CancelWorkflow{StoreFixture::job, 5});
     CHECK(fixture.task(0, 0).phase == TaskPhase::Placed);
     fixture.end(0, 0, 1, RunOutcome::Stopped);
     CHECK(fixture.workflow().occurrences.empty());
@@ -250,12 +250,12 @@
 
 TEST_CASE("the book knows whether a target's report says anything new", "[book]")
 {
-    BookFixture f(1);
-    TargetIdentity identity = f.book.find(f.life(1))->identity;
-    CHECK(f.book.holds(identity, false));
-    CHECK_FALSE(f.book.holds(identity, true));
-    identity.bornAtMs = 2;
-    CHECK_FALSE(f.book.holds(identity, false));
+    StoreFixture f(1);
+    TargetIdentity identity = f.store.find(f.incarnation(1))->identity;
+    CHECK(f.store.matchesNewest(identity, false));
+    CHECK_FALSE(f.store.matchesNewest(identity, true));
+    identity.startedAtMs = 2;
+    CHECK_FALSE(f.store.matchesNewest(identity, false));
     identity.name = "another";
-    CHECK_FALSE(f.book.holds(identity, false));
+    CHECK_FALSE(f.store.matchesNewest(identity, false));
 }
--- a/test/workflows/controllertest.cpp
+++ b/test/workflows/controllertest.cpp
@@ -29,17 +29,17 @@
     /// The target that runs the job's first task; empty: none.
     std::string placeOf(std::uint16_t index = 0)
     {
-        return this->machine.read([&](const Book &book) {
-            const TaskProgress *task = book.find(job)->task({{job, 0, 0}, index});
+        return this->machine.read([&](const WorkflowStore &store) {
+            const TaskProgress *task = store.find(job)->task({{job, 0, 0}, index});
             if (task->phase != TaskPhase::Placed)
                 return std::string();
-            return book.find(task->life)->identity.name;
+            return store.find(task->incarnation)->identity.name;
         });
     }
     RunNumber runOf()
     {
-        return this->machine.read([](const Book &book) {
-            return book.find(job)->task({{job, 0, 0}, 0})->run;
+        return this->machine.read([](const WorkflowStore &store) {
+            return store.find(job)->task({{job, 0, 0}, 0})->run;
         });
     }
 };
@@ -48,7 +48,7 @@
 
 TEST_CASE_METHOD(ControllerFixture, "a workflow runs to its end", "[controller]")
 {
-    this->submit(job, {BookFixture::step(3), BookFixture::gang(2)});
+    this->submit(job, {StoreFixture::step(3), StoreFixture::gang(2)});
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 5);
@@ -60,7 +60,7 @@
     // A target starts the task and its answer is lost. The order goes again under the same run
     // number, and the target, which has it, only says so.
     this->fleet.faults.lostAnswer = 0.5;
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(20000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 1);
@@ -72,7 +72,7 @@
 {
     // A target is cut off with a task that goes on there. Its caller would see the work done twice
     // if it were started elsewhere before the target's lease is over by the target's own clock.
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
     const std::string first = this->placeOf();
     REQUIRE(!first.empty());
@@ -90,7 +90,7 @@
 {
     // The path is cut one way: questions arrive, answers do not. Each question used to carry a
     // lease, so the target's work would never have been over, and never done.
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
     const std::string first = this->placeOf();
     this->fleet.cut(first, true);
@@ -102,7 +102,7 @@
 TEST_CASE_METHOD(ControllerFixture, "a target reborn under its name has lost what it ran",
                  "[controller]")
 {
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
     const std::string first = this->placeOf();
     this->fleet.crash(first);
@@ -119,7 +119,7 @@
 {
     // A controller is lost with work under way. The next one reads the targets' lists and starts
     // nothing that runs already.
-    this->submit(job, {BookFixture::step(4)});
+    this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
     REQUIRE(this->fleet.starts == 4);
     this->changeController(Milliseconds(800));
@@ -136,7 +136,7 @@
     // another. For 2 to 6 s after each change nothing was started, with all targets idle.
     this->changeController(Milliseconds(800));
     this->loop.runFor(Milliseconds(300));
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->loop.runFor(Milliseconds(100));
     CHECK(this->fleet.starts == 1);
 }
@@ -146,22 +146,23 @@
 {
     this->drain("t1");
     this->runFor(Milliseconds(50));
-    this->submit(job, {BookFixture::step(4)});
+    this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
     for (std::uint16_t i = 0; i < 4; ++i)
         CHECK(this->placeOf(i) == "t2");
     this->changeController(Milliseconds(0));
-    this->submit(static_cast<WorkflowId>(2), {BookFixture::step(4)});
+    this->submit(static_cast<WorkflowId>(2), {StoreFixture::step(4)});
     this->loop.runFor(Milliseconds(1000));
-    const std::size_t onDraining = this->machine.read(
-        [](const Book &book) { return book.find(book.newestLife("t1"))->placed.size(); });
+    const std::size_t onDraining = this->machine.read([](const WorkflowStore &store) {
+        return store.find(store.newestIncarnation("t1"))->placed.size();
+    });
     CHECK(onDraining == 0);
 }
 
 TEST_CASE_METHOD(ControllerFixture, "work of a target that left is started anew at once",
                  "[controller]")
 {
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
     this->leave(this->placeOf());
     this->runFor(Milliseconds(100));
@@ -170,7 +171,7 @@
 
 TEST_CASE_METHOD(ControllerFixture, "a cancelled workflow's tasks are stopped", "[controller]")
 {
-    this->submit(job, {BookFixture::step(4)});
+    this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(60));
     REQUIRE(this->fleet.starts == 4);
     this->controller().cancel(job, [](const Result<CommandOutcome> &) {});
@@ -186,7 +187,7 @@
     Quiet quiet;
     Simulation cell(1, 8, 4000);
     constexpr unsigned jobs = 48;
-    StepSpec whole = BookFixture::step(1);
+    StepSpec whole = StoreFixture::step(1);
     whole.need[ResourceKind::MilliCores] = 4000;
     for (unsigned i = 1; i <= jobs; ++i) {
         if (i == 9) // each target has ended a task by then
@@ -209,7 +210,7 @@
     // failed twice just before. No single task is left by which it could prove itself.
     Quiet quiet;
     Simulation cell(1, 8, 4000);
-    StepSpec whole = BookFixture::step(1);
+    StepSpec whole = StoreFixture::step(1);
     whole.need[ResourceKind::MilliCores] = 4000;
     StepSpec all = whole;
     all.tasks = 8;
@@ -221,7 +222,7 @@
         cell.runFor(Milliseconds(i == 2 ? 6000 : 3000));
     }
     cell.fleet.failing.clear();
-    StepSpec gang = BookFixture::gang(8);
+    StepSpec gang = StoreFixture::gang(8);
     gang.need[ResourceKind::MilliCores] = 4000;
     cell.submit(static_cast<WorkflowId>(9), {gang});
     cell.runFor(Milliseconds(9000));
@@ -245,7 +246,7 @@
 {
     // A target goes on answering and beating while its tasks stand still. Callers of short work got
     // it 3 to 7 s late, when the target went on. It is stopped there and begun elsewhere.
-    StepSpec spec = BookFixture::step(1);
+    StepSpec spec = StoreFixture::step(1);
     spec.estimatedMs = 1000;
     this->submit(job, {spec});
     this->runFor(Milliseconds(50));
--- a/test/workflows/countingtest.cpp
+++ b/test/workflows/countingtest.cpp
@@ -35,7 +35,7 @@
 // job to have ended in their millisecond, and counted it.
 TEST_CASE_METHOD(CountingFixture, "a workflow that is over is counted once", "[counting]")
 {
-    this->submit(job, {BookFixture::step(4)});
+    this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
     this->controller().cancel(job, [](const Result<CommandOutcome> &) {});
     this->leave("t1");
@@ -55,7 +55,7 @@
     this->calendarStepMs = 50; // both ends fall into one step of the calendar, and two batches
     this->changeController(Milliseconds(0));
     this->runFor(Milliseconds(500));
-    StepSpec gang = BookFixture::gang(2);
+    StepSpec gang = StoreFixture::gang(2);
     gang.maxPerTarget = 1;
     for (unsigned id = 1; id <= jobs; ++id) {
         this->submit(static_cast<WorkflowId>(id), {gang});
@@ -72,9 +72,10 @@
 {
     for (const char *name : {"t1", "t2"})
         this->fleet.cut(name, false);
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->loop.runFor(Milliseconds(100));
-    REQUIRE(this->machine.read([](const Book &book) { return book.find(job)->placed; }) == 1);
+    REQUIRE(this->machine.read([](const WorkflowStore &store) { return store.find(job)->placed; })
+            == 1);
     CHECK(this->controller().waitingIn("q") == 1);
     CHECK(this->controller().waitingIn("other") == 0);
 }
@@ -82,7 +83,7 @@
 // A controller takes over while a job runs. It was begun, which the targets' lists say.
 TEST_CASE_METHOD(CountingFixture, "a new controller counts no running job as waiting", "[counting]")
 {
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
     CHECK(this->controller().waitingIn("q") == 0);
     this->changeController(Milliseconds(0));
--- a/test/workflows/crashingtasktest.cpp
+++ b/test/workflows/crashingtasktest.cpp
@@ -31,7 +31,7 @@
                  "[crashes]")
 {
     this->renamesRestarted = GENERATE(false, true);
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(60000));
     CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
@@ -41,7 +41,7 @@
                  "[crashes]")
 {
     this->renamesRestarted = GENERATE(false, true);
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     for (int i = 0; i < 40; ++i) {
         this->runFor(Milliseconds(1700));
         this->changeController(Milliseconds(800));
@@ -53,7 +53,7 @@
 TEST_CASE_METHOD(CrashingTaskFixture, "a gang with a member that crashes its targets is given up",
                  "[crashes]")
 {
-    this->submit(job, {BookFixture::gang(4)});
+    this->submit(job, {StoreFixture::gang(4)});
     this->runFor(Milliseconds(60000));
     CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
@@ -63,9 +63,9 @@
                  "[crashes]")
 {
     constexpr std::uint64_t neighbours = 20;
-    this->submit(job, {BookFixture::step(2)});
+    this->submit(job, {StoreFixture::step(2)});
     for (std::uint64_t i = 2; i < 2 + neighbours; ++i) {
-        this->submit(static_cast<WorkflowId>(i), {BookFixture::step(2), BookFixture::gang(2)});
+        this->submit(static_cast<WorkflowId>(i), {StoreFixture::step(2), StoreFixture::gang(2)});
         this->runFor(Milliseconds(500));
     }
     this->runFor(Milliseconds(60000));
@@ -79,7 +79,7 @@
                  "[crashes]")
 {
     this->fleet.crashing.clear();
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     for (int i = 0; i < 8 && !this->isAllOver(); ++i) {
         this->runFor(Milliseconds(50));
         for (const std::string &name : this->fleet.names())
@@ -98,16 +98,16 @@
                  "[crashes]")
 {
     this->fleet.crashing.clear();
-    this->submit(job, {BookFixture::step(1)});
-    LifeNumber cutOff = LifeNumber::None;
+    this->submit(job, {StoreFixture::step(1)});
+    IncarnationId cutOff = IncarnationId::None;
     for (unsigned cuts = 0; cuts < TargetLossTracker::mostEarlyCrashes;) {
         this->runFor(Milliseconds(50));
-        const TaskProgress task = this->machine.read([](const Book &book) {
-            return *book.find(job)->task({{job, 0, 0}, 0});
+        const TaskProgress task = this->machine.read([](const WorkflowStore &store) {
+            return *store.find(job)->task({{job, 0, 0}, 0});
         });
-        if (task.phase != TaskPhase::Placed || task.life == cutOff)
+        if (task.phase != TaskPhase::Placed || task.incarnation == cutOff)
             continue;
-        cutOff = task.life;
+        cutOff = task.incarnation;
         this->fleet.cut("t" + std::to_string(idValue(cutOff)), false);
         ++cuts;
     }
--- a/test/workflows/evacuationtest.cpp
+++ b/test/workflows/evacuationtest.cpp
@@ -28,9 +28,9 @@
     /// Tasks of the job that are placed in \a domain.
     std::size_t placedIn(const std::string &domain)
     {
-        return this->machine.read([&](const Book &book) {
+        return this->machine.read([&](const WorkflowStore &store) {
             std::size_t placed = 0;
-            for (const auto &[life, record] : book.lives()) {
+            for (const auto &[incarnation, record] : store.incarnations()) {
                 if (record.identity.failureDomain == domain)
                     placed += record.placed.size();
             }
@@ -40,16 +40,16 @@
 };
 
 /// A life in a failure domain of its own, beside the fixture's.
-LifeNumber lifeIn(BookFixture &f, const std::string &domain)
+IncarnationId lifeIn(StoreFixture &f, const std::string &domain)
 {
     TargetIdentity identity;
     identity.name = "t-" + domain;
-    identity.bornAtMs = 1;
+    identity.startedAtMs = 1;
     identity.service = "s";
     identity.failureDomain = domain;
     identity.capacity[ResourceKind::MilliCores] = 4000;
-    f.apply(BeginLife{identity});
-    return f.book.newestLife(identity.name);
+    f.apply(RegisterIncarnation{identity});
+    return f.store.newestIncarnation(identity.name);
 }
 
 void disturb(Simulation &simulation, std::mt19937_64 &random)
@@ -100,9 +100,9 @@
 
 TEST_CASE("an evacuated failure domain takes no placement until it is opened", "[evacuation]")
 {
-    BookFixture f(0);
-    const LifeNumber there = lifeIn(f, "d1");
-    f.accept({BookFixture::step(1)});
+    StoreFixture f(0);
+    const IncarnationId there = lifeIn(f, "d1");
+    f.accept({StoreFixture::step(1)});
     CHECK(f.apply(EvacuateDomain{"d1", true}) == CommandOutcome::Applied);
     CHECK(f.apply(EvacuateDomain{"d1", true}) == CommandOutcome::Unchanged);
     CHECK(f.apply(PlaceRuns{f.at(0), 1, {{0, there}}}) == CommandOutcome::Rejected);
@@ -113,33 +113,33 @@
 
 TEST_CASE("a draining target takes no placement that was decided before", "[evacuation]")
 {
-    BookFixture f;
-    f.accept({BookFixture::step(1)});
-    f.apply(DrainLife{f.life(1), true});
+    StoreFixture f;
+    f.accept({StoreFixture::step(1)});
+    f.apply(SetIncarnationDraining{f.incarnation(1), true});
     CHECK(f.place(0, 1, {1}) == CommandOutcome::Rejected);
 }
 
 TEST_CASE("an evacuation outlives a restart from a snapshot", "[evacuation]")
 {
-    BookFixture f(0);
-    const LifeNumber there = lifeIn(f, "d1");
+    StoreFixture f(0);
+    const IncarnationId there = lifeIn(f, "d1");
     f.apply(EvacuateDomain{"d1", true});
-    Book later;
-    REQUIRE(later.restore(f.book.snapshot()));
+    WorkflowStore later;
+    REQUIRE(later.restore(f.store.snapshot()));
     CHECK(later.evacuatedDomains() == std::set<std::string>{"d1"});
     CHECK_FALSE(later.takesWork(*later.find(there)));
 }
 
 TEST_CASE("a snapshot without evacuations, as older programs wrote it, is read", "[evacuation]")
 {
-    BookFixture f;
-    f.accept({BookFixture::step(1)});
+    StoreFixture f;
+    f.accept({StoreFixture::step(1)});
     constexpr std::size_t markBytes = 11;
     constexpr std::size_t emptyTailBytes = 4; // no evacuated domains, losses, changed rooms
-    const std::string snapshot = f.book.snapshot();
+    const std::string snapshot = f.store.snapshot();
     const std::string older =
         snapshot.substr(markBytes, snapshot.size() - markBytes - emptyTailBytes);
-    Book read;
+    WorkflowStore read;
     REQUIRE(read.restore(older));
     CHECK(read.snapshot() == snapshot);
 }
@@ -147,19 +147,19 @@
 TEST_CASE_METHOD(EvacuationFixture, "work goes round an evacuated domain, and runs there end",
                  "[evacuation]")
 {
-    this->submit(job, {BookFixture::step(12)});
+    this->submit(job, {StoreFixture::step(12)});
     this->runFor(Milliseconds(50));
     const std::size_t before = this->placedIn("d1");
     REQUIRE(before > 0);
     this->evacuate("d1", true);
     this->runFor(Milliseconds(100));
     CHECK(this->placedIn("d1") == before); // nothing is stopped
-    this->submit(static_cast<WorkflowId>(2), {BookFixture::step(8)});
+    this->submit(static_cast<WorkflowId>(2), {StoreFixture::step(8)});
     this->runFor(Milliseconds(15000));
     CHECK(this->isAllOver());
     CHECK(this->fleet.startsInEvacuated == 0);
     this->evacuate("d1", false);
-    this->submit(static_cast<WorkflowId>(3), {BookFixture::step(16)});
+    this->submit(static_cast<WorkflowId>(3), {StoreFixture::step(16)});
     this->runFor(Milliseconds(100));
     CHECK(this->placedIn("d1") > 0);
 }
@@ -169,7 +169,7 @@
 {
     this->evacuate("d0", true);
     this->changeController(Milliseconds(800));
-    this->submit(job, {BookFixture::step(8)});
+    this->submit(job, {StoreFixture::step(8)});
     this->runFor(Milliseconds(15000));
     CHECK(this->isAllOver());
     CHECK(this->fleet.startsInEvacuated == 0);
@@ -182,7 +182,7 @@
     this->runFor(Milliseconds(100));
     this->fleet.cut("t1", false);
     this->fleet.cut("t3", false);
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(20));
     REQUIRE(this->placedIn("d1") == 1);
     this->evacuate("d1", true);
@@ -196,17 +196,17 @@
 TEST_CASE_METHOD(EvacuationFixture, "a queue is shut out while all its domains are evacuated",
                  "[evacuation]")
 {
-    CHECK_FALSE(this->controller().isShutOut("q"));
+    CHECK_FALSE(this->controller().isFullyEvacuated("q"));
     this->evacuate("d0", true);
     this->runFor(Milliseconds(100));
-    CHECK_FALSE(this->controller().isShutOut("q"));
+    CHECK_FALSE(this->controller().isFullyEvacuated("q"));
     this->evacuate("d1", true);
     this->runFor(Milliseconds(100));
-    CHECK(this->controller().isShutOut("q"));
-    CHECK_FALSE(this->controller().isShutOut("another"));
+    CHECK(this->controller().isFullyEvacuated("q"));
+    CHECK_FALSE(this->controller().isFullyEvacuated("another"));
     this->evacuate("d1", false);
     this->runFor(Milliseconds(100));
-    CHECK_FALSE(this->controller().isShutOut("q"));
+    CHECK_FALSE(this->controller().isFullyEvacuated("q"));
 }
 
 TEST_CASE("the checker sees a start in an evacuated domain", "[evacuation]")
@@ -216,7 +216,7 @@
     const TargetIdentity target = fleet.add("t1", 4000, "d1");
     WorkflowSpec spec;
     spec.id = job;
-    spec.steps = {BookFixture::step(1)};
+    spec.steps = {StoreFixture::step(1)};
     fleet.announce(spec);
     fleet.evacuated("d1");
     loop.runFor(Milliseconds(6000));
@@ -233,14 +233,14 @@
 TEST_CASE("a cold target is used when the others have no room", "[evacuation]")
 {
     PlanFixture f(2);
-    f.cold.insert(f.life(1));
-    f.accept({BookFixture::step(5)});
+    f.cold.insert(f.incarnation(1));
+    f.accept({StoreFixture::step(5)});
     const Plan plan = f.plan();
-    std::map<LifeNumber, int> placed;
+    std::map<IncarnationId, int> placed;
     for (const Placement &placement : plan.placements.front().placements)
-        ++placed[placement.life];
-    CHECK(placed[f.life(2)] == 4);
-    CHECK(placed[f.life(1)] == 1);
+        ++placed[placement.incarnation];
+    CHECK(placed[f.incarnation(2)] == 4);
+    CHECK(placed[f.incarnation(1)] == 1);
 }
 
 TEST_CASE("evacuations in series, cut targets and changes of controller start nothing too late",
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -23,7 +23,7 @@
 {
     for (int i = 0; i < count; ++i) {
         const bool isGang = i % 4 == 0;
-        const StepSpec step = isGang ? BookFixture::gang(20) : BookFixture::step(10);
+        const StepSpec step = isGang ? StoreFixture::gang(20) : StoreFixture::step(10);
         simulation.submit(static_cast<WorkflowId>(++lastId), {step});
     }
 }
--- a/test/workflows/planfixture.h
+++ b/test/workflows/planfixture.h
@@ -14,11 +14,11 @@
 
 /// Plans on a book whose workflow is in queue "q", with all targets open but those said to be
 /// closed.
-class PlanFixture : public BookFixture
+class PlanFixture : public StoreFixture
 {
 public:
     explicit PlanFixture(unsigned targets = 3)
-        : BookFixture(targets)
+        : StoreFixture(targets)
     {
         QueuePolicy queue;
         queue.service = "s";
@@ -28,13 +28,14 @@
     Plan plan()
     {
         std::vector<OpenTarget> open;
-        for (const auto &[life, record] : this->book.lives()) {
-            if (this->closed.count(life) == 0)
-                open.push_back({life, &record.identity, record.identity.capacity - record.used,
-                                this->onProbation.count(life) != 0, this->cold.count(life) != 0,
-                                record.placed.size()});
+        for (const auto &[incarnation, record] : this->store.incarnations()) {
+            if (this->closed.count(incarnation) == 0)
+                open.push_back({incarnation, &record.identity,
+                                record.identity.capacity - record.used,
+                                this->onProbation.count(incarnation) != 0,
+                                this->cold.count(incarnation) != 0, record.placed.size()});
         }
-        return makePlan({this->book, this->policy, this->admissions, this->claims, open, this->now,
+        return makePlan({this->store, this->policy, this->admissions, this->claims, open, this->now,
                          this->calendarMs, this->admittedFractions, this->querierCount,
                          this->openQueries});
     }
@@ -70,15 +71,15 @@
 
     void admit(unsigned number, Milliseconds validFor)
     {
-        this->admissions[at(0)].admitted[life(number)] = {"ticket", this->now + validFor};
+        this->admissions[at(0)].admitted[incarnation(number)] = {"ticket", this->now + validFor};
     }
 
     Policy policy;
     AdmissionTable admissions;
     ClaimTable claims;
-    std::set<LifeNumber> closed;
-    std::set<LifeNumber> onProbation;
-    std::set<LifeNumber> cold;
+    std::set<IncarnationId> closed;
+    std::set<IncarnationId> onProbation;
+    std::set<IncarnationId> cold;
     std::int64_t calendarMs = 1000;
     const AdmittedFractions *admittedFractions = nullptr;
     std::size_t querierCount = 1;
--- a/test/workflows/plannertest.cpp
+++ b/test/workflows/plannertest.cpp
@@ -17,7 +17,7 @@
 {
     this->accept({gang(13)});
     CHECK(this->carryOut() == 0);
-    this->beginLife("t4", 1);
+    this->registerIncarnation("t4", 1);
     CHECK(this->carryOut() == 13);
 }
 
@@ -60,12 +60,12 @@
     spec.maxPerTarget = 1;
     this->accept({spec});
     CHECK(this->carryOut() == 3);
-    BookFixture labelled;
+    StoreFixture labelled;
     spec.label = "fast";
     labelled.accept({spec});
-    this->book = labelled.book;
+    this->store = labelled.store;
     CHECK(this->carryOut() == 0);
-    this->book = BookFixture().book;
+    this->store = StoreFixture().store;
     this->accept({step(1)});
     this->policy.queues["q"].service = "other";
     CHECK(this->carryOut() == 0);
@@ -75,16 +75,16 @@
 {
     TargetIdentity near;
     near.name = "near";
-    near.bornAtMs = 1;
+    near.startedAtMs = 1;
     near.service = "s";
     near.rack = "r1-1";
     near.capacity[ResourceKind::MilliCores] = 9000;
-    this->apply(BeginLife{near});
+    this->apply(RegisterIncarnation{near});
     StepSpec spec = step(2);
     spec.dataRack = "r1-1";
     this->accept({spec});
     CHECK(this->carryOut() == 2);
-    CHECK(this->book.find(life(4))->placed.size() == 2);
+    CHECK(this->store.find(incarnation(4))->placed.size() == 2);
 }
 
 TEST_CASE_METHOD(PlanFixture, "more urgent queues come first, then the nearer objective",
@@ -113,25 +113,25 @@
     CHECK(first.placements.empty());
     REQUIRE(first.queries.size() == 1);
     CHECK(first.queries[0].targets.size() == 3);
-    this->admissions[at(0)].asked = {life(1)};
+    this->admissions[at(0)].asked = {incarnation(1)};
     CHECK(this->plan().queries.empty());
     this->admissions[at(0)].asked.clear();
-    this->admissions[at(0)].refused = {life(1), life(3)};
+    this->admissions[at(0)].refused = {incarnation(1), incarnation(3)};
     this->admit(2, Milliseconds(1500));
     CHECK(this->carryOut() == 2);
-    CHECK(this->book.find(life(2))->placed.size() == 2);
+    CHECK(this->store.find(incarnation(2))->placed.size() == 2);
 }
 
 TEST_CASE_METHOD(PlanFixture, "a ticket that is about to run out is not used", "[planner]")
 {
     this->needAdvice();
     this->accept({step(1)});
-    this->admissions[at(0)].refused = {life(1), life(3)};
+    this->admissions[at(0)].refused = {incarnation(1), incarnation(3)};
     this->admit(2, Milliseconds(100));
     const Plan made = this->plan();
     CHECK(made.placements.empty());
     REQUIRE(made.queries.size() == 1);
-    CHECK(made.queries[0].targets == std::vector<LifeNumber>{life(2)});
+    CHECK(made.queries[0].targets == std::vector<IncarnationId>{incarnation(2)});
 }
 
 TEST_CASE_METHOD(PlanFixture, "a gang's tickets are renewed only where all of it has room",
@@ -142,7 +142,7 @@
     // waited behind them.
     this->needAdvice();
     this->accept({gang(6)});
-    this->admissions[at(0)].refused = {life(3)};
+    this->admissions[at(0)].refused = {incarnation(3)};
     this->admit(1, Milliseconds(0));
     this->admit(2, Milliseconds(0));
     const Plan made = this->plan();
@@ -152,7 +152,7 @@
     for (const auto &[target, tasks] : made.queries[0].claim)
         claimed += tasks;
     CHECK(claimed == 6);
-    this->closed = {life(2)};
+    this->closed = {incarnation(2)};
     CHECK(this->plan().queries.empty());
 }
 
@@ -163,7 +163,7 @@
     this->policy.queues["small"] = this->policy.queues["q"];
     this->accept({gang(12)});
     this->add(3, "small", step(4));
-    this->claims[at(0)] = {{{life(1), 4}, {life(2), 4}, {life(3), 4}},
+    this->claims[at(0)] = {{{incarnation(1), 4}, {incarnation(2), 4}, {incarnation(3), 4}},
                            this->now + Milliseconds(500)};
     this->needAdvice();
     CHECK(this->plan().placements.empty());
@@ -184,7 +184,7 @@
     this->policy.queues["q"].priority = 1;
     this->needAdvice();
     this->accept({gang(12)});
-    this->claims[at(0)] = {{{life(1), 4}, {life(2), 4}, {life(3), 4}},
+    this->claims[at(0)] = {{{incarnation(1), 4}, {incarnation(2), 4}, {incarnation(3), 4}},
                            this->now + Milliseconds(500)};
     this->add(3, "urgent", step(4));
     const Plan made = this->plan();
@@ -207,7 +207,7 @@
     this->apply(AcceptWorkflow{running});
     PlaceRuns command{{running.id, 0, 0}, 1, {}};
     for (std::uint16_t i = 0; i < 9; ++i)
-        command.placements.push_back({i, life(1 + i % 3)});
+        command.placements.push_back({i, incarnation(1 + i % 3)});
     REQUIRE(this->apply(command) == CommandOutcome::Applied);
     WorkflowSpec waiting = running;
     waiting.id = static_cast<WorkflowId>(4);
@@ -220,10 +220,10 @@
 TEST_CASE_METHOD(PlanFixture, "a target on probation takes one task that is no member of a gang",
                  "[planner]")
 {
-    this->onProbation = {life(1), life(2), life(3)};
+    this->onProbation = {incarnation(1), incarnation(2), incarnation(3)};
     this->accept({step(6)});
     CHECK(this->carryOut() == 3);
-    this->book = BookFixture().book;
+    this->store = StoreFixture().store;
     this->accept({gang(2)});
     CHECK(this->carryOut() == 0);
 }
@@ -238,9 +238,9 @@
     this->place(0, 2, {1}); // the fullest but one, which the next try would prefer
     this->end(0, 0, 2, RunOutcome::Failed, 9);
     CHECK(this->carryOut() == 1);
-    CHECK(this->task(0, 0).life != life(1));
+    CHECK(this->task(0, 0).incarnation != incarnation(1));
     this->end(0, 0, 3, RunOutcome::Lost);
-    this->closed = {life(2), life(3)};
+    this->closed = {incarnation(2), incarnation(3)};
     CHECK(this->carryOut() == 1);
 }
 
@@ -282,7 +282,7 @@
         this->add(100, "small", step(36));
         PlaceRuns running{{static_cast<WorkflowId>(100), 0, 0}, 1, {}};
         for (std::uint16_t i = 0; i < 36; ++i)
-            running.placements.push_back({i, life(1 + i % 12U)});
+            running.placements.push_back({i, incarnation(1 + i % 12U)});
         REQUIRE(this->apply(running) == CommandOutcome::Applied);
         this->add(101, "small", step(12));
     }
--- a/test/workflows/questionmakertest.cpp
+++ b/test/workflows/questionmakertest.cpp
@@ -28,7 +28,8 @@
         this->apply(AcceptWorkflow{running});
         PlaceRuns command{{running.id, 0, 0}, 1, {}};
         for (unsigned i = 0; i < 4 * targets; ++i)
-            command.placements.push_back({static_cast<std::uint16_t>(i), life(1 + i % targets)});
+            command.placements.push_back(
+                {static_cast<std::uint16_t>(i), incarnation(1 + i % targets)});
         REQUIRE(this->apply(command) == CommandOutcome::Applied);
     }
 
@@ -47,7 +48,7 @@
     this->accept({gang(20)});
     const Plan made = this->plan();
     REQUIRE(made.queries.size() == 4);
-    std::set<LifeNumber> named;
+    std::set<IncarnationId> named;
     for (const AdmissionQuery &query : made.queries) {
         CHECK(query.targets.size() <= 100);
         named.insert(query.targets.begin(), query.targets.end());
@@ -73,11 +74,11 @@
 {
     this->accept({gang(600)});
     for (unsigned i = 1; i <= targets; ++i)
-        this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now};
+        this->admissions[at(0)].admitted[incarnation(i)] = {"ticket", this->now};
     const Plan made = this->plan();
     REQUIRE(made.queries.size() == 2);
     std::size_t claimed = 0;
-    std::set<LifeNumber> named;
+    std::set<IncarnationId> named;
     for (const AdmissionQuery &query : made.queries) {
         CHECK(query.targets.size() <= 100);
         named.insert(query.targets.begin(), query.targets.end());
@@ -94,10 +95,11 @@
     this->fill();
     this->accept({gang(20)});
     for (unsigned i = 1; i <= 25; ++i)
-        this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now + Milliseconds(1400)};
+        this->admissions[at(0)].admitted[incarnation(i)] = {"ticket",
+                                                            this->now + Milliseconds(1400)};
     this->openQueries = this->querierCount;
     CHECK(this->plan().queries.empty());
-    this->admissions[at(0)].admitted.erase(life(25));
+    this->admissions[at(0)].admitted.erase(incarnation(25));
     CHECK_FALSE(this->plan().queries.empty());
 }
 
@@ -109,7 +111,8 @@
         this->add(id, "q", gang(20));
         const StepAddress step{static_cast<WorkflowId>(id), 0, 0};
         for (unsigned i = 1; i <= 25; ++i)
-            this->admissions[step].admitted[life(i)] = {"ticket", this->now + Milliseconds(1400)};
+            this->admissions[step].admitted[incarnation(i)] = {"ticket",
+                                                               this->now + Milliseconds(1400)};
     }
     // The first is near its turn and has fresh tickets; the second has time to learn.
     this->querierCount = 4;
@@ -129,12 +132,13 @@
     this->fill();
     this->accept({gang(20)});
     for (unsigned i = 1; i <= 25; ++i)
-        this->admissions[at(0)].admitted[life(i)] = {"ticket", this->now + Milliseconds(900)};
+        this->admissions[at(0)].admitted[incarnation(i)] = {"ticket",
+                                                            this->now + Milliseconds(900)};
     const Plan made = this->plan();
     REQUIRE(made.queries.size() == 1);
     CHECK(made.queries[0].targets.size() == 25);
     CHECK(made.queries[0].claim.empty());
-    for (const LifeNumber target : made.queries[0].targets)
+    for (const IncarnationId target : made.queries[0].targets)
         CHECK(this->admissions[at(0)].admitted.count(target) == 1);
 }
 
@@ -160,7 +164,8 @@
         this->add(id, "q", gang(20));
         const StepAddress step{static_cast<WorkflowId>(id), 0, 0};
         for (unsigned i = 1; i <= 25; ++i)
-            this->admissions[step].admitted[life(i)] = {"ticket", this->now + Milliseconds(100)};
+            this->admissions[step].admitted[incarnation(i)] = {"ticket",
+                                                               this->now + Milliseconds(100)};
     }
     this->querierCount = this->openQueries = 6;
     CHECK(this->plan().queries.size() == 1);
--- a/test/workflows/randomrounds.cpp
+++ b/test/workflows/randomrounds.cpp
@@ -20,7 +20,7 @@
         const auto tasks =
             static_cast<std::uint16_t>(std::uniform_int_distribution<>(1, 4)(random));
         const bool isGang = std::uniform_int_distribution<>(0, 3)(random) == 0;
-        StepSpec step = isGang ? BookFixture::gang(tasks) : BookFixture::step(tasks);
+        StepSpec step = isGang ? StoreFixture::gang(tasks) : StoreFixture::step(tasks);
         if (i > 0)
             step.dependencies = {static_cast<std::uint16_t>(i - 1)};
         steps.push_back(step);
--- a/test/workflows/reportfiltertest.cpp
+++ b/test/workflows/reportfiltertest.cpp
@@ -12,7 +12,7 @@
 {
     TargetReport report;
     report.identity.name = name;
-    report.identity.bornAtMs = 1000;
+    report.identity.startedAtMs = 1000;
     report.identity.address = "127.0.0.1:80";
     report.isReady = isReady;
     report.sequence = sequence;
@@ -40,7 +40,7 @@
     filter.acknowledged(reportOf("a", 1), start);
     CHECK_FALSE(filter.isRepetition(reportOf("a", 2, false), start));
     TargetReport reborn = reportOf("a", 1);
-    reborn.identity.bornAtMs = 2000;
+    reborn.identity.startedAtMs = 2000;
     CHECK_FALSE(filter.isRepetition(reborn, start));
     TargetReport moved = reportOf("a", 2);
     moved.identity.address = "127.0.0.2:80";
@@ -65,7 +65,7 @@
     constexpr int targets = 1000;
     int passed = 0;
     for (int i = 0; i < targets; ++i)
-        CHECK(filter.takeStored(reportOf("t" + std::to_string(i), 1), start));
+        CHECK(filter.acknowledgeStored(reportOf("t" + std::to_string(i), 1), start));
     const Instant half = start + ReportFilter::passInterval / 2;
     for (int i = 0; i < targets; ++i)
         passed += filter.isRepetition(reportOf("t" + std::to_string(i), 2), half) ? 0 : 1;
@@ -77,8 +77,9 @@
 TEST_CASE("an instance without a controller does not answer for it again and again", "[reports]")
 {
     ReportFilter filter;
-    REQUIRE(filter.takeStored(reportOf("a", 1), start));
+    REQUIRE(filter.acknowledgeStored(reportOf("a", 1), start));
     const Instant later = start + ReportFilter::passInterval;
     CHECK_FALSE(filter.isRepetition(reportOf("a", 2), later));
-    CHECK_FALSE(filter.takeStored(reportOf("a", 2), later)); // it has to reach the controller
+    CHECK_FALSE(
+        filter.acknowledgeStored(reportOf("a", 2), later)); // it has to reach the controller
 }
--- a/test/workflows/resizetest.cpp
+++ b/test/workflows/resizetest.cpp
@@ -27,8 +27,9 @@
 
     std::size_t placedOn(const std::string &name)
     {
-        return this->machine.read(
-            [&](const Book &book) { return book.find(book.newestLife(name))->placed.size(); });
+        return this->machine.read([&](const WorkflowStore &store) {
+            return store.find(store.newestIncarnation(name))->placed.size();
+        });
     }
 };
 
@@ -74,7 +75,7 @@
 {
     this->resize("t1", 1000);
     this->runFor(Milliseconds(6000));
-    this->submit(job, {BookFixture::step(8)});
+    this->submit(job, {StoreFixture::step(8)});
     this->runFor(Milliseconds(50));
     CHECK(this->placedOn("t1") == 1);
     CHECK(this->placedOn("t2") == 4);
@@ -90,7 +91,7 @@
     this->runFor(Milliseconds(2000));
     this->changeController(Milliseconds(800));
     this->runFor(Milliseconds(2000));
-    this->submit(job, {BookFixture::step(8)});
+    this->submit(job, {StoreFixture::step(8)});
     this->runFor(Milliseconds(50));
     CHECK(this->placedOn("t1") == 0);
     this->resize("t1", 4000);
@@ -100,27 +101,29 @@
 
 TEST_CASE("a placement that was decided before the room shrank is rejected", "[resize][book]")
 {
-    BookFixture f(1);
+    StoreFixture f(1);
     f.accept({f.step(2)});
     Resources room;
     room[ResourceKind::MilliCores] = 1000;
-    REQUIRE(f.apply(ResizeLife{f.life(1), room, 5}) == CommandOutcome::Applied);
+    REQUIRE(f.apply(ResizeIncarnation{f.incarnation(1), room, 5}) == CommandOutcome::Applied);
     CHECK(f.place(0, 1, {1, 1}) == CommandOutcome::Rejected);
     CHECK(f.place(0, 1, {1}) == CommandOutcome::Applied);
 }
 
 TEST_CASE("a late report of a room that has shrunk since changes nothing", "[resize][book]")
 {
-    BookFixture f(1);
-    Resources room = f.book.find(f.life(1))->identity.capacity;
+    StoreFixture f(1);
+    Resources room = f.store.find(f.incarnation(1))->identity.capacity;
     const Resources before = room;
     room[ResourceKind::MilliCores] = 1000;
-    f.apply(ResizeLife{f.life(1), room, 5});
-    Book later;
-    REQUIRE(later.restore(f.book.snapshot()));
-    CHECK(later.apply({ResizeLife{f.life(1), before, 4}}).front() == CommandOutcome::Unchanged);
-    CHECK(later.find(f.life(1))->identity.capacity == room);
-    CHECK(later.apply({ResizeLife{f.life(1), before, 6}}).front() == CommandOutcome::Applied);
+    f.apply(ResizeIncarnation{f.incarnation(1), room, 5});
+    WorkflowStore later;
+    REQUIRE(later.restore(f.store.snapshot()));
+    CHECK(later.apply({ResizeIncarnation{f.incarnation(1), before, 4}}).front()
+          == CommandOutcome::Unchanged);
+    CHECK(later.find(f.incarnation(1))->identity.capacity == room);
+    CHECK(later.apply({ResizeIncarnation{f.incarnation(1), before, 6}}).front()
+          == CommandOutcome::Applied);
 }
 
 TEST_CASE("rooms that shrink and grow are never overdrawn, whatever else happens",
--- a/test/workflows/simulatedfleet.cpp
+++ b/test/workflows/simulatedfleet.cpp
@@ -48,7 +48,7 @@
 {
     Target target;
     target.identity.name = name;
-    target.identity.bornAtMs = this->loop.nowMs();
+    target.identity.startedAtMs = this->loop.nowMs();
     target.identity.service = "s";
     target.identity.failureDomain = failureDomain;
     target.identity.rack = "r0-0";
@@ -101,7 +101,7 @@
     Target &target = this->targets.at(name);
     const TargetIdentity before = target.identity;
     target.isUp = true; // what is sent to the old one is answered by the new one
-    target.identity.bornAtMs = this->loop.nowMs();
+    target.identity.startedAtMs = this->loop.nowMs();
     this->add(successor, before.capacity[ResourceKind::MilliCores], before.failureDomain);
 }
 
@@ -407,8 +407,8 @@
     }
     this->carry<OrderAnswer>(
         target.name, true, deadline, std::move(done),
-        [this, order, born = target.bornAtMs, sentAt = this->loop.now()](Target &at) {
-            if (at.identity.bornAtMs != born)
+        [this, order, born = target.startedAtMs, sentAt = this->loop.now()](Target &at) {
+            if (at.identity.startedAtMs != born)
                 return OrderAnswer{OrderReply::OtherLife, 0};
             return this->begin(at, order, sentAt);
         });
@@ -419,8 +419,8 @@
 {
     this->carry<OrderAnswer>(
         target.name, true, deadline, std::move(done),
-        [this, order, born = target.bornAtMs](Target &at) {
-            if (at.identity.bornAtMs != born)
+        [this, order, born = target.startedAtMs](Target &at) {
+            if (at.identity.startedAtMs != born)
                 return OrderAnswer{OrderReply::OtherLife, 0};
             if (order.term < at.fence)
                 return OrderAnswer{OrderReply::Fenced, this->clockOf(at)};
@@ -448,10 +448,10 @@
     ++this->holds;
     this->carry<HoldAnswer>(
         target.name, false, deadline, std::move(done),
-        [this, order, born = target.bornAtMs](Target &at) {
+        [this, order, born = target.startedAtMs](Target &at) {
             HoldAnswer answer;
             answer.reply = OrderReply::OtherLife;
-            if (at.identity.bornAtMs != born)
+            if (at.identity.startedAtMs != born)
                 return answer;
             answer.clockMs = this->clockOf(at);
             answer.reply = OrderReply::Fenced;
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -71,7 +71,7 @@
     report.identity = this->identities.at(name);
     report.isReady = this->draining.count(name) == 0;
     report.sequence = ++this->sequence;
-    this->controller().targetHeard(report, [](const Result<Nothing> &) {});
+    this->controller().heartbeatReceived(report, [](const Result<Nothing> &) {});
 }
 
 void Simulation::drain(const std::string &name)
@@ -113,7 +113,7 @@
 void Simulation::leave(const std::string &name)
 {
     this->fleet.crash(name);
-    this->controller().targetLeft(name, this->identities.at(name).bornAtMs,
+    this->controller().targetLeft(name, this->identities.at(name).startedAtMs,
                                   [](const Result<Nothing> &) {});
 }
 
@@ -165,17 +165,18 @@
 
 bool Simulation::isAccepted(WorkflowId id) const
 {
-    return this->machine.read([id](const Book &book) { return book.find(id) != nullptr; });
+    return this->machine.read(
+        [id](const WorkflowStore &store) { return store.find(id) != nullptr; });
 }
 
 WorkflowState Simulation::stateOf(WorkflowId id) const
 {
-    return this->machine.read([id](const Book &book) { return book.find(id)->state(); });
+    return this->machine.read([id](const WorkflowStore &store) { return store.find(id)->state(); });
 }
 
 bool Simulation::isAllOver() const
 {
-    return this->machine.read([](const Book &book) { return book.live().empty(); });
+    return this->machine.read([](const WorkflowStore &store) { return store.live().empty(); });
 }
 
 } // namespace guavavalve::workflows
--- a/test/workflows/simulation.h
+++ b/test/workflows/simulation.h
@@ -36,7 +36,7 @@
 class SlowLog : public InMemoryLog
 {
 public:
-    SlowLog(BookMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
+    SlowLog(WorkflowStoreMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
         : InMemoryLog(machine)
         , loop(loop)
         , storeTime(storeTime)
@@ -98,7 +98,7 @@
     std::function<TargetPort &()> portOfController;
     Metrics metrics;
     SimulatedFleet fleet;
-    BookMachine machine;
+    WorkflowStoreMachine machine;
     std::set<std::string> draining;
 
     Controller &controller() { return *this->reigns.back()->controller; }
@@ -109,7 +109,7 @@
         SlowLog log;
         std::unique_ptr<Controller> controller;
 
-        Reign(BookMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
+        Reign(WorkflowStoreMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
             : log(machine, loop, storeTime)
         {}
     };
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -52,7 +52,7 @@
     spdlog::set_level(spdlog::level::off);
     VirtualLoop loop;
     SimulatedFleet fleet(loop, 1);
-    BookMachine machine;
+    WorkflowStoreMachine machine;
     HeldLog log(machine);
     AdmitAllPort admissions(loop);
     ControllerOptions options;
@@ -73,18 +73,18 @@
     TargetReport report;
     report.identity = fleet.add("t1", 4000);
     report.isReady = true;
-    controller.targetHeard(report, [](const Result<Nothing> &) {});
+    controller.heartbeatReceived(report, [](const Result<Nothing> &) {});
     loop.runFor(Milliseconds(500));
 
     WorkflowSpec spec;
-    spec.id = BookFixture::job;
+    spec.id = StoreFixture::job;
     spec.queue = "q";
-    spec.steps = {BookFixture::step(1)};
+    spec.steps = {StoreFixture::step(1)};
     fleet.announce(spec);
     controller.submit(spec, [&](const Result<CommandOutcome> &) { log.isHolding = true; });
     loop.runFor(Milliseconds(50));
     REQUIRE(log.held.size() == 1); // the placement
-    const TaskAddress task{{BookFixture::job, 0, 0}, 0};
+    const TaskAddress task{{StoreFixture::job, 0, 0}, 0};
     const EndRuns later{{{task, 1, RunOutcome::Succeeded, "", 1}}, loop.nowMs()};
     machine.apply(99, encode(CommandBatch{later}));
     log.release();
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -153,11 +153,11 @@
     const auto port = agents.portOf(0);
     const TargetIdentity target = fleet.add("t1", 4000);
     WorkflowSpec spec;
-    spec.id = BookFixture::job;
-    spec.steps = {BookFixture::step(1)};
+    spec.id = StoreFixture::job;
+    spec.steps = {StoreFixture::step(1)};
     fleet.announce(spec);
     StartOrder order;
-    order.task = {{BookFixture::job, 0, 0}, 0};
+    order.task = {{StoreFixture::job, 0, 0}, 0};
     order.run = 1;
     order.term = 1;
     order.leaseUntilMs = 6000;
--- a/test/workflows/targethealthtest.cpp
+++ b/test/workflows/targethealthtest.cpp
@@ -19,10 +19,14 @@
 
     void ends(unsigned target, unsigned workflow, RunOutcome outcome)
     {
-        this->health.ended(life(target), static_cast<WorkflowId>(workflow), outcome, this->now);
+        this->health.ended(incarnation(target), static_cast<WorkflowId>(workflow), outcome,
+                           this->now);
     }
-    TargetTrust trust(unsigned target) const { return this->health.trust(life(target), this->now); }
-    static LifeNumber life(unsigned number) { return static_cast<LifeNumber>(number); }
+    TargetTrust trust(unsigned target) const
+    {
+        return this->health.trust(incarnation(target), this->now);
+    }
+    static IncarnationId incarnation(unsigned number) { return static_cast<IncarnationId>(number); }
 
     static constexpr unsigned targets = 20;
     TargetHealth health;
@@ -81,7 +85,7 @@
     this->ends(1, 4, RunOutcome::Failed); // was under way, and does not prolong the suspension
     this->now += Milliseconds(1100);
     CHECK(this->trust(1) == TargetTrust::Probation);
-    CHECK_FALSE(this->health.hasProbationExpired(life(1), this->now));
+    CHECK_FALSE(this->health.hasProbationExpired(incarnation(1), this->now));
     this->ends(1, 5, RunOutcome::Failed);
     this->now += Milliseconds(1100);
     CHECK(this->trust(1) == TargetTrust::Suspended); // twice as long
@@ -89,7 +93,7 @@
     CHECK(this->trust(1) == TargetTrust::Probation);
     this->now += Milliseconds(1000);
     CHECK(this->trust(1) == TargetTrust::Probation);
-    CHECK(this->health.hasProbationExpired(life(1), this->now));
+    CHECK(this->health.hasProbationExpired(incarnation(1), this->now));
     this->ends(1, 6, RunOutcome::Succeeded);
     CHECK(this->trust(1) == TargetTrust::Trusted);
 }
--- a/test/workflows/targetsessiontest.cpp
+++ b/test/workflows/targetsessiontest.cpp
@@ -94,7 +94,7 @@
         hooks.ownLag = [this] { return this->ownLag; };
         TargetIdentity identity;
         identity.name = "t1";
-        this->session = std::make_shared<TargetSession>(static_cast<LifeNumber>(1), identity, 3,
+        this->session = std::make_shared<TargetSession>(static_cast<IncarnationId>(1), identity, 3,
                                                         this->limits, this->port, std::move(hooks),
                                                         [this] { return this->loop.now(); });
         this->session->heard(true);
@@ -119,7 +119,7 @@
         }
     }
 
-    TaskAddress task{{BookFixture::job, 0, 0}, 0};
+    TaskAddress task{{StoreFixture::job, 0, 0}, 0};
     VirtualLoop loop;
     RecordingPort port{this->loop};
     SessionLimits limits;
--- a/test/workflows/waitledgertest.cpp
+++ b/test/workflows/waitledgertest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const Instant start{std::chrono::seconds(100)};
-const StepAddress step{BookFixture::job, 0, 0};
+const StepAddress step{StoreFixture::job, 0, 0};
 
 Microseconds waitedFor(const WaitTimes &times, WaitCause cause)
 {
@@ -45,7 +45,7 @@
 TEST_CASE("a plan tells why it leaves a step waiting", "[waits]")
 {
     PlanFixture f(1);
-    f.accept({BookFixture::step(5)});
+    f.accept({StoreFixture::step(5)});
     REQUIRE(f.plan().waiting.size() == 1);
     CHECK(f.plan().waiting.front().cause == WaitCause::Room);
     f.policy.accounts["a"].limit[ResourceKind::MilliCores] = 4000;
@@ -56,7 +56,7 @@
 {
     PlanFixture f(1);
     f.needAdvice();
-    f.accept({BookFixture::step(1)});
+    f.accept({StoreFixture::step(1)});
     CHECK(f.plan().waiting.front().cause == WaitCause::Admission); // it is asked now
     f.admissions[f.at(0)].nextQueryAt = f.now + Milliseconds(100);
     CHECK(f.plan().waiting.front().cause == WaitCause::Querier);
