--- a/src/decisions/fairscheduler.cpp
+++ b/src/decisions/fairscheduler.cpp
@@ -7,9 +7,9 @@
 #include "decisions/headroom.h"
 #include "decisions/ledger.h"
 #include "decisions/placer.h"
+#include "decisions/preemptor.h"
 #include "decisions/quarantine.h"
 #include "decisions/reservations.h"
-#include "decisions/roommaker.h"
 #include "decisions/shares.h"
 
 #include <algorithm>
--- a/src/decisions/jobfaults.cpp
+++ b/src/decisions/jobfailures.cpp
@@ -1,4 +1,4 @@
-#include "decisions/jobfaults.h"
+#include "decisions/jobfailures.h"
 
 #include <algorithm>
 
--- a/src/decisions/roommaker.cpp
+++ b/src/decisions/preemptor.cpp
@@ -1,4 +1,4 @@
-#include "decisions/roommaker.h"
+#include "decisions/preemptor.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/decisions/quarantine.h
+++ b/src/decisions/quarantine.h
@@ -2,7 +2,7 @@
 
 #include "core/attemptoutcome.h"
 #include "core/clock.h"
-#include "decisions/jobfaults.h"
+#include "decisions/jobfailures.h"
 #include "decisions/ledger.h"
 
 #include <vector>
--- a/src/decisions/replaybooks.cpp
+++ b/src/decisions/replayaccounting.cpp
@@ -1,4 +1,4 @@
-#include "decisions/replaybooks.h"
+#include "decisions/replayaccounting.h"
 
 #include <algorithm>
 #include <string>
--- a/src/decisions/replaytrace.cpp
+++ b/src/decisions/replaytrace.cpp
@@ -2,7 +2,7 @@
 
 #include "decisions/fairscheduler.h"
 #include "decisions/firstfitscheduler.h"
-#include "decisions/replaybooks.h"
+#include "decisions/replayaccounting.h"
 #include "decisions/tracecodec.h"
 
 #include <algorithm>
--- a/src/workflows/askerpool.cpp
+++ b/src/workflows/admissionquerybalancer.cpp
@@ -1,4 +1,4 @@
-#include "workflows/askerpool.h"
+#include "workflows/admissionquerybalancer.h"
 
 #include <algorithm>
 
--- a/src/workflows/command.h
+++ b/src/workflows/command.h
@@ -1,17 +1,17 @@
 #pragma once
 
 #include "workflows/commands/acceptworkflow.h"
-#include "workflows/commands/beginlife.h"
 #include "workflows/commands/cancelworkflow.h"
-#include "workflows/commands/crashlife.h"
-#include "workflows/commands/drainlife.h"
 #include "workflows/commands/endruns.h"
 #include "workflows/commands/evacuatedomain.h"
-#include "workflows/commands/forgetlife.h"
+#include "workflows/commands/forgetincarnation.h"
 #include "workflows/commands/forgetworkflows.h"
+#include "workflows/commands/markincarnationalive.h"
+#include "workflows/commands/markincarnationcrashed.h"
 #include "workflows/commands/placeruns.h"
-#include "workflows/commands/resizelife.h"
-#include "workflows/commands/revivelife.h"
+#include "workflows/commands/registerincarnation.h"
+#include "workflows/commands/resizeincarnation.h"
+#include "workflows/commands/setincarnationdraining.h"
 #include "workflows/commands/storedocument.h"
 
 #include <cereal/types/variant.hpp>
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -4,15 +4,15 @@
 #include "core/done.h"
 #include "replicas/replicatedlog.h"
 #include "workflows/admissionport.h"
-#include "workflows/bookmachine.h"
-#include "workflows/lifeend.h"
+#include "workflows/incarnationend.h"
 #include "workflows/planner.h"
-#include "workflows/progresswatch.h"
+#include "workflows/progressmonitor.h"
 #include "workflows/targethealth.h"
 #include "workflows/targetport.h"
 #include "workflows/targetsession.h"
-#include "workflows/waitledger.h"
+#include "workflows/waittimetracker.h"
 #include "workflows/workflowmetrics.h"
+#include "workflows/workflowstoremachine.h"
 
 #include <cstdint>
 #include <deque>
--- a/src/workflows/decisionlog.h
+++ b/src/workflows/decisionlog.h
@@ -4,13 +4,13 @@
 #include "core/error.h"
 #include "workflows/command.h"
 #include "workflows/commandoutcome.h"
-#include "workflows/lifeend.h"
+#include "workflows/incarnationend.h"
 #include "workflows/losscount.h"
 #include "workflows/planner.h"
 #include "workflows/policy.h"
 #include "workflows/targethealth.h"
 #include "workflows/targetstanding.h"
-#include "workflows/waitledger.h"
+#include "workflows/waittimetracker.h"
 #include "workflows/workflow.h"
 
 #include <cstddef>
--- a/src/workflows/lifetable.h
+++ b/src/workflows/incarnationtable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "workflows/targetlife.h"
+#include "workflows/targetidentity.h"
 
 #include <map>
 #include <set>
--- a/src/workflows/internal/questionmaker.cpp
+++ b/src/workflows/internal/admissionqueryplanner.cpp
@@ -1,4 +1,4 @@
-#include "workflows/internal/questionmaker.h"
+#include "workflows/internal/admissionqueryplanner.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -1,7 +1,7 @@
 #include "workflows/planner.h"
 
+#include "workflows/internal/admissionqueryplanner.h"
 #include "workflows/internal/planroom.h"
-#include "workflows/internal/questionmaker.h"
 #include "workflows/internal/readystep.h"
 #include "workflows/objective.h"
 
--- a/src/workflows/planner.h
+++ b/src/workflows/planner.h
@@ -2,10 +2,10 @@
 
 #include "core/clock.h"
 #include "workflows/admissions.h"
-#include "workflows/book.h"
 #include "workflows/claims.h"
 #include "workflows/policy.h"
 #include "workflows/waitcause.h"
+#include "workflows/workflowstore.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/workflows/progresswatch.cpp
+++ b/src/workflows/progressmonitor.cpp
@@ -1,4 +1,4 @@
-#include "workflows/progresswatch.h"
+#include "workflows/progressmonitor.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/workflows/lossledger.cpp
+++ b/src/workflows/targetlosstracker.cpp
@@ -1,4 +1,4 @@
-#include "workflows/lossledger.h"
+#include "workflows/targetlosstracker.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/workflows/targetport.h
+++ b/src/workflows/targetport.h
@@ -4,7 +4,7 @@
 #include "core/done.h"
 #include "core/enumnames.h"
 #include "workflows/runend.h"
-#include "workflows/targetlife.h"
+#include "workflows/targetidentity.h"
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/string.hpp>
--- a/src/workflows/targetsession.h
+++ b/src/workflows/targetsession.h
@@ -2,7 +2,7 @@
 
 #include "core/clock.h"
 #include "workflows/runend.h"
-#include "workflows/targetlife.h"
+#include "workflows/targetidentity.h"
 #include "workflows/targetport.h"
 
 #include <cstdint>
--- a/src/workflows/waitledger.cpp
+++ b/src/workflows/waittimetracker.cpp
@@ -1,4 +1,4 @@
-#include "workflows/waitledger.h"
+#include "workflows/waittimetracker.h"
 
 #include <cstddef>
 #include <iterator>
--- a/src/workflows/book.cpp
+++ b/src/workflows/workflowstore.cpp
@@ -1,4 +1,4 @@
-#include "workflows/book.h"
+#include "workflows/workflowstore.h"
 
 #include "core/codec.h"
 
--- a/src/workflows/book.h
+++ b/src/workflows/workflowstore.h
@@ -3,8 +3,8 @@
 #include "core/error.h"
 #include "workflows/command.h"
 #include "workflows/commandoutcome.h"
-#include "workflows/lifetable.h"
-#include "workflows/lossledger.h"
+#include "workflows/incarnationtable.h"
+#include "workflows/targetlosstracker.h"
 #include "workflows/workflow.h"
 
 #include <cstdint>
--- a/src/workflows/bookmachine.cpp
+++ b/src/workflows/workflowstoremachine.cpp
@@ -1,4 +1,4 @@
-#include "workflows/bookmachine.h"
+#include "workflows/workflowstoremachine.h"
 
 #include "core/codec.h"
 
--- a/src/workflows/bookmachine.h
+++ b/src/workflows/workflowstoremachine.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "replicas/statemachine.h"
-#include "workflows/book.h"
+#include "workflows/workflowstore.h"
 
 #include <mutex>
 #include <utility>
--- a/test/workflows/askerpooltest.cpp
+++ b/test/workflows/admissionquerybalancertest.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/askerpool.h"
+#include "workflows/admissionquerybalancer.h"
 
 #include <string>
 
--- a/test/workflows/evacuationtest.cpp
+++ b/test/workflows/evacuationtest.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
 #include "workflows/planfixture.h"
 #include "workflows/randomrounds.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
 #include "workflows/simulation.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
--- a/test/workflows/planfixture.h
+++ b/test/workflows/planfixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "workflows/bookfixture.h"
 #include "workflows/planner.h"
+#include "workflows/storefixture.h"
 
 #include <catch2/catch.hpp>
 
--- a/test/workflows/progresswatchtest.cpp
+++ b/test/workflows/progressmonitortest.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/progresswatch.h"
+#include "workflows/progressmonitor.h"
 
 #include <vector>
 
--- a/test/workflows/randomrounds.cpp
+++ b/test/workflows/randomrounds.cpp
@@ -1,6 +1,6 @@
 #include "workflows/randomrounds.h"
 
-#include "workflows/bookfixture.h"
+#include "workflows/storefixture.h"
 
 #include <catch2/catch.hpp>
 #include <spdlog/spdlog.h>
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
 #include "core/codec.h"
-#include "workflows/bookfixture.h"
 #include "workflows/simulation.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
--- a/test/workflows/bookfixture.h
+++ b/test/workflows/storefixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "workflows/book.h"
+#include "workflows/workflowstore.h"
 
 #include <string>
 #include <utility>
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -1,9 +1,9 @@
 #include <catch2/catch.hpp>
 
 #include "workflows/agentpool.h"
-#include "workflows/bookfixture.h"
 #include "workflows/randomrounds.h"
 #include "workflows/simulatedagents.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
--- a/test/workflows/lossledgertest.cpp
+++ b/test/workflows/targetlosstrackertest.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
-#include "workflows/lossledger.h"
 #include "workflows/planfixture.h"
+#include "workflows/storefixture.h"
+#include "workflows/targetlosstracker.h"
 
 using namespace guavavalve;
 using namespace guavavalve::workflows;
--- a/test/workflows/targetsessiontest.cpp
+++ b/test/workflows/targetsessiontest.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
+#include "workflows/storefixture.h"
 #include "workflows/targetsession.h"
 #include "workflows/virtualloop.h"
 
--- a/test/workflows/waitledgertest.cpp
+++ b/test/workflows/waittimetrackertest.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "workflows/planfixture.h"
-#include "workflows/waitledger.h"
+#include "workflows/waittimetracker.h"
 
 using namespace guavavalve;
 using namespace guavavalve::workflows;
--- a/test/workflows/booktest.cpp
+++ b/test/workflows/workflowstoretest.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
+#include "workflows/storefixture.h"
 
 using namespace guavavalve;
 using namespace guavavalve::workflows;
