--- a/src/workflows/admissions.h
+++ b/src/workflows/admissions.h
@@ -22,14 +22,14 @@
 /// the ticket that proves it runs out.
 struct StepAdmissions
 {
-    std::map<LifeNumber, Admission> admitted;
-    std::set<LifeNumber> refused;
-    std::set<LifeNumber> asked; ///< targets that questions under way name
-    Instant nextQuestionAt{}; ///< not before, after one that failed
+    std::map<IncarnationId, Admission> admitted;
+    std::set<IncarnationId> refused;
+    std::set<IncarnationId> asked; ///< targets that questions under way name
+    Instant nextQueryAt{}; ///< not before, after one that failed
 
-    const Admission *valid(LifeNumber life, Instant now) const
+    const Admission *valid(IncarnationId incarnation, Instant now) const
     {
-        const auto found = this->admitted.find(life);
+        const auto found = this->admitted.find(incarnation);
         return found == this->admitted.end() || found->second.validUntil <= now ? nullptr
                                                                                 : &found->second;
     }
@@ -38,7 +38,7 @@
 using AdmissionTable = std::map<StepAddress, StepAdmissions>;
 
 /// Part of the targets asked about that were admitted, over the newest questions.
-class AdmittedPart
+class AdmittedFraction
 {
 public:
     void answered(std::size_t asked, std::size_t admitted)
@@ -60,6 +60,6 @@
     bool hasAny = false;
 };
 
-using AdmittedParts = std::map<std::string, AdmittedPart>; ///< by queue
+using AdmittedFractions = std::map<std::string, AdmittedFraction>; ///< by queue
 
 } // namespace guavavalve::workflows
--- a/src/workflows/commands/beginlife.h
+++ b/src/workflows/commands/registerincarnation.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "workflows/targetlife.h"
+#include "workflows/targetidentity.h"
 
 namespace guavavalve::workflows {
 
 /// A target's life is heard of for the first time.
-struct BeginLife
+struct RegisterIncarnation
 {
     TargetIdentity identity;
 
--- a/src/workflows/internal/questionmaker.cpp
+++ b/src/workflows/internal/admissionqueryplanner.cpp
@@ -1,4 +1,4 @@
-#include "workflows/internal/questionmaker.h"
+#include "workflows/internal/admissionqueryplanner.h"
 
 #include <algorithm>
 #include <utility>
@@ -29,18 +29,18 @@
 constexpr double spareRoom = 2.5;
 
 /// The \a most targets that come first by their key.
-std::vector<LifeNumber> firstTargets(std::vector<std::pair<std::int64_t, LifeNumber>> keyed,
-                                     std::size_t most)
+std::vector<IncarnationId> firstTargets(std::vector<std::pair<std::int64_t, IncarnationId>> keyed,
+                                        std::size_t most)
 {
     most = std::min(most, keyed.size());
     std::partial_sort(keyed.begin(), keyed.begin() + static_cast<std::ptrdiff_t>(most),
                       keyed.end());
     keyed.resize(most);
-    std::vector<LifeNumber> lives;
-    lives.reserve(keyed.size());
-    for (const auto &[key, life] : keyed)
-        lives.push_back(life);
-    return lives;
+    std::vector<IncarnationId> incarnations;
+    incarnations.reserve(keyed.size());
+    for (const auto &[key, incarnation] : keyed)
+        incarnations.push_back(incarnation);
+    return incarnations;
 }
 
 /// How long the service takes for a question that names \a targets, or the most that one may.
@@ -48,7 +48,7 @@
 {
     const double named = static_cast<double>(std::min(targets, longestQuestion));
     return Milliseconds(
-        static_cast<std::int64_t>(step.queue->adviceMs + named * step.queue->adviceMsPerTarget));
+        static_cast<std::int64_t>(step.queue->queryBaseMs + named * step.queue->queryMsPerTarget));
 }
 
 } // namespace
@@ -71,29 +71,30 @@
     return slotsIn(step, target.free);
 }
 
-QuestionMaker::QuestionMaker(const PlanInput &input, PlanRoom &room)
+AdmissionQueryPlanner::AdmissionQueryPlanner(const PlanInput &input, PlanRoom &room)
     : input(input)
     , room(room)
-    , open(input.openQuestions)
+    , open(input.openQueries)
 {}
 
-std::vector<AdmissionQuestion> QuestionMaker::make(const ReadyStep &step, bool isNearTurn)
+std::vector<AdmissionQuery> AdmissionQueryPlanner::make(const ReadyStep &step, bool isNearTurn)
 {
-    std::vector<AdmissionQuestion> made = this->decide(step, isNearTurn);
+    std::vector<AdmissionQuery> made = this->decide(step, isNearTurn);
     this->open += made.size();
     return made;
 }
 
 /// With so few questions under way a further one keeps no other waiting.
-bool QuestionMaker::hasIdleAskers() const
+bool AdmissionQueryPlanner::hasIdleAskers() const
 {
-    return this->open < this->input.askers / partIdle;
+    return this->open < this->input.querierCount / partIdle;
 }
 
-std::vector<AdmissionQuestion> QuestionMaker::decide(const ReadyStep &step, bool isNearTurn) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::decide(const ReadyStep &step,
+                                                          bool isNearTurn) const
 {
     const StepAdmissions *known = step.admissions;
-    if (known != nullptr && (!known->asked.empty() || this->input.now < known->nextQuestionAt))
+    if (known != nullptr && (!known->asked.empty() || this->input.now < known->nextQueryAt))
         return {};
     if (known != nullptr) {
         auto renewal =
@@ -114,29 +115,29 @@
 ///
 /// Guards against questions that cannot help: one costs half a second and more, and gangs that
 /// asked whenever their tickets ran out kept two thirds of the service's time for themselves.
-std::vector<AdmissionQuestion> QuestionMaker::renewGang(const ReadyStep &step,
-                                                        const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::renewGang(const ReadyStep &step,
+                                                             const StepAdmissions &known) const
 {
-    std::vector<std::pair<std::uint16_t, LifeNumber>> withRoom;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    std::vector<std::pair<std::uint16_t, IncarnationId>> withRoom;
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target == nullptr || !PlanRoom::mayRun(step, *target))
             continue;
         if (const std::uint16_t slots = slotsOn(step, *target); slots > 0)
-            withRoom.emplace_back(slots, life);
+            withRoom.emplace_back(slots, incarnation);
     }
     std::sort(withRoom.rbegin(), withRoom.rend());
-    std::vector<AdmissionQuestion> made;
+    std::vector<AdmissionQuery> made;
     std::size_t found = 0;
     const std::size_t wanted = step.progress().tasks.size();
-    for (const auto &[slots, life] : withRoom) {
+    for (const auto &[slots, incarnation] : withRoom) {
         if (found >= wanted)
             break;
         if (made.empty() || made.back().targets.size() >= longestQuestion)
             made.push_back({step.address, {}, {}});
         const auto taken = static_cast<std::uint16_t>(std::min<std::size_t>(slots, wanted - found));
-        made.back().targets.push_back(life);
-        made.back().claim[life] = taken;
+        made.back().targets.push_back(incarnation);
+        made.back().claim[incarnation] = taken;
         found += taken;
     }
     if (found < wanted)
@@ -147,31 +148,32 @@
 /// Tickets on more targets than the gang needs, where room may come free while they are good.
 ///
 /// Guards against room that has gathered and stands empty while the tickets for it are renewed.
-std::vector<AdmissionQuestion> QuestionMaker::refreshGang(const ReadyStep &step,
-                                                          const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::refreshGang(const ReadyStep &step,
+                                                               const StepAdmissions &known) const
 {
     const std::size_t wanted = enoughCapacity * step.progress().tasks.size();
     const Instant goodUntil =
         this->input.now + askingTime(step, known.admitted.size()) + refreshMargin;
-    std::vector<std::pair<std::int64_t, LifeNumber>> expiring;
+    std::vector<std::pair<std::int64_t, IncarnationId>> expiring;
     std::size_t slots = 0;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target == nullptr || !PlanRoom::mayRun(step, *target))
             continue;
         if (admission.validUntil > goodUntil)
             slots += slotsIn(step, target->identity->capacity);
         else
-            expiring.emplace_back(-target->free[ResourceKind::MilliCores], life);
+            expiring.emplace_back(-target->free[ResourceKind::MilliCores], incarnation);
     }
-    std::vector<AdmissionQuestion> made;
-    for (const LifeNumber life : firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
+    std::vector<AdmissionQuery> made;
+    for (const IncarnationId incarnation :
+         firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
         if (slots >= wanted)
             break;
         if (made.empty() || made.back().targets.size() >= longestQuestion)
             made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(life);
-        slots += slotsIn(step, this->room.find(life)->identity->capacity);
+        made.back().targets.push_back(incarnation);
+        slots += slotsIn(step, this->room.find(incarnation)->identity->capacity);
     }
     return made;
 }
@@ -180,11 +182,11 @@
 /// over.
 ///
 /// Guards against gangs that ask about a whole cell while it is full: what they lack is room.
-bool QuestionMaker::knowsEnough(const ReadyStep &step) const
+bool AdmissionQueryPlanner::knowsEnough(const ReadyStep &step) const
 {
     std::size_t slots = 0;
-    for (const auto &[life, admission] : step.admissions->admitted) {
-        const OpenTarget *target = this->room.find(life);
+    for (const auto &[incarnation, admission] : step.admissions->admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target != nullptr && PlanRoom::mayRun(step, *target))
             slots += slotsIn(step, target->identity->capacity);
     }
@@ -192,24 +194,24 @@
 }
 
 /// Part of the targets that steps of this queue may run on, as observed.
-double QuestionMaker::admittedPart(const ReadyStep &step) const
+double AdmissionQueryPlanner::admittedPart(const ReadyStep &step) const
 {
-    if (this->input.admittedParts == nullptr)
+    if (this->input.admittedFractions == nullptr)
         return usualPart;
-    const auto observed = this->input.admittedParts->find(step.workflow->spec.queue);
-    return observed == this->input.admittedParts->end() ? usualPart : observed->second.mean();
+    const auto observed = this->input.admittedFractions->find(step.workflow->spec.queue);
+    return observed == this->input.admittedFractions->end() ? usualPart : observed->second.mean();
 }
 
 /// For single tasks each ticket on a target with room helps.
-std::vector<AdmissionQuestion> QuestionMaker::renewSingles(const ReadyStep &step,
-                                                           const StepAdmissions &known) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::renewSingles(const ReadyStep &step,
+                                                                const StepAdmissions &known) const
 {
-    std::vector<std::pair<std::int64_t, LifeNumber>> expired;
-    for (const auto &[life, admission] : known.admitted) {
-        const OpenTarget *target = this->room.find(life);
+    std::vector<std::pair<std::int64_t, IncarnationId>> expired;
+    for (const auto &[incarnation, admission] : known.admitted) {
+        const OpenTarget *target = this->room.find(incarnation);
         if (target != nullptr && PlanRoom::mayRun(step, *target)
-            && !this->room.isAdmitted(step, life) && slotsOn(step, *target) > 0)
-            expired.emplace_back(-target->free[ResourceKind::MilliCores], life);
+            && !this->room.isAdmitted(step, incarnation) && slotsOn(step, *target) > 0)
+            expired.emplace_back(-target->free[ResourceKind::MilliCores], incarnation);
     }
     if (expired.empty())
         return {};
@@ -218,20 +220,21 @@
 
 /// Asks about targets that nothing is known of: those with the most room first. What is learned
 /// stays true, so full ones are named too while nothing at all is known.
-std::vector<AdmissionQuestion> QuestionMaker::explore(const ReadyStep &step) const
+std::vector<AdmissionQuery> AdmissionQueryPlanner::explore(const ReadyStep &step) const
 {
     const StepAdmissions *known = step.admissions;
-    std::vector<std::pair<std::int64_t, LifeNumber>> unknown;
+    std::vector<std::pair<std::int64_t, IncarnationId>> unknown;
     for (const OpenTarget &target : this->room.targets()) {
         const bool isKnown = known != nullptr
-            && (known->admitted.count(target.life) != 0 || known->refused.count(target.life) != 0);
+            && (known->admitted.count(target.incarnation) != 0
+                || known->refused.count(target.incarnation) != 0);
         if (isKnown || !PlanRoom::mayRun(step, target))
             continue;
         if (!step.spec().reserved().fitsInto(target.identity->capacity))
             continue;
         if (known != nullptr && !step.spec().gang && slotsOn(step, target) == 0)
             continue;
-        unknown.emplace_back(-target.free[ResourceKind::MilliCores], target.life);
+        unknown.emplace_back(-target.free[ResourceKind::MilliCores], target.incarnation);
     }
     if (unknown.empty())
         return {};
@@ -246,14 +249,15 @@
 /// Guards against a gang that learns of its targets in turn: a question about 30 targets takes
 /// 0.8 s, and in a cell of 350 that was nearly full a gang asked eleven of them, one after the
 /// other, before it knew where it could run. One about 100 takes 1.3 s.
-std::vector<AdmissionQuestion>
-QuestionMaker::exploreForGang(const ReadyStep &step, const std::vector<LifeNumber> &unknown) const
+std::vector<AdmissionQuery>
+AdmissionQueryPlanner::exploreForGang(const ReadyStep &step,
+                                      const std::vector<IncarnationId> &unknown) const
 {
     const double wanted = spareRoom * static_cast<double>(step.progress().tasks.size());
     const double part = this->admittedPart(step);
     double expected = 0.0;
-    std::vector<AdmissionQuestion> made;
-    for (const LifeNumber life : unknown) {
+    std::vector<AdmissionQuery> made;
+    for (const IncarnationId incarnation : unknown) {
         if (expected >= wanted)
             break;
         const bool isFull = made.empty() || made.back().targets.size() >= longestQuestion;
@@ -261,8 +265,8 @@
             break;
         if (isFull)
             made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(life);
-        expected += part * slotsOn(step, *this->room.find(life));
+        made.back().targets.push_back(incarnation);
+        expected += part * slotsOn(step, *this->room.find(incarnation));
     }
     return made;
 }
--- a/src/workflows/planner.h
+++ b/src/workflows/planner.h
@@ -2,10 +2,10 @@
 
 #include "core/clock.h"
 #include "workflows/admissions.h"
-#include "workflows/book.h"
 #include "workflows/claims.h"
 #include "workflows/policy.h"
 #include "workflows/waitcause.h"
+#include "workflows/workflowstore.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +17,7 @@
 /// A target that may be given something now.
 struct OpenTarget
 {
-    LifeNumber life = LifeNumber::None;
+    IncarnationId incarnation = IncarnationId::None;
     const TargetIdentity *identity = nullptr;
     Resources free;
     bool onProbation = false; ///< takes one task that is no member of a gang
@@ -26,11 +26,11 @@
 };
 
 /// A question for the admission service.
-struct AdmissionQuestion
+struct AdmissionQuery
 {
     StepAddress step;
-    std::vector<LifeNumber> targets; ///< the likeliest first
-    std::map<LifeNumber, std::uint16_t> claim; ///< room to be kept until the answer
+    std::vector<IncarnationId> targets; ///< the likeliest first
+    std::map<IncarnationId, std::uint16_t> claim; ///< room to be kept until the answer
 };
 
 /// What a plan left waiting, for the log.
@@ -48,7 +48,7 @@
 struct Plan
 {
     std::vector<PlaceRuns> placements;
-    std::vector<AdmissionQuestion> questions;
+    std::vector<AdmissionQuery> queries;
     std::vector<WaitingStep> waiting; ///< steps that have ready tasks without a place
     PlanSummary summary;
 };
@@ -56,16 +56,16 @@
 /// Everything that a plan depends on.
 struct PlanInput
 {
-    const Book &book;
+    const WorkflowStore &store;
     const Policy &policy;
     const AdmissionTable &admissions;
     const ClaimTable &claims;
     std::vector<OpenTarget> targets;
     Instant now;
     std::int64_t calendarMs = 0;
-    const AdmittedParts *admittedParts = nullptr; ///< null: nothing has been observed
-    std::size_t askers = 1; ///< instances that can put questions to the admission service
-    std::size_t openQuestions = 0; ///< that wait for their answers
+    const AdmittedFractions *admittedFractions = nullptr; ///< null: nothing has been observed
+    std::size_t querierCount = 1; ///< instances that can put questions to the admission service
+    std::size_t openQueries = 0; ///< that wait for their answers
 };
 
 /// Decides which ready tasks go where. Pure.
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -76,7 +76,7 @@
     const Instant now = this->options.clock();
     CarriedOrder carried;
     carried.target = target.name;
-    carried.bornAtMs = target.bornAtMs;
+    carried.startedAtMs = target.startedAtMs;
     carried.address = target.address;
     carried.order = order;
     carried.answerWithinMs = msUntil(deadline - wayBack, now);
@@ -100,7 +100,7 @@
     if (!reply) {
         const bool isUnreachable = reply.error().ran == Ran::No;
         if (this->pool.unanswered(agent, isUnreachable, this->options.clock()))
-            logAgentDoubted(agent, this->pool.targetsOf(agent), reply.error());
+            logAgentUnresponsive(agent, this->pool.targetsOf(agent), reply.error());
         Error error = reply.error();
         if (error.ran == Ran::No)
             error.code = ErrorCode::LimitExceeded;
--- a/src/workflows/lossledger.cpp
+++ b/src/workflows/targetlosstracker.cpp
@@ -1,13 +1,13 @@
-#include "workflows/lossledger.h"
+#include "workflows/targetlosstracker.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace guavavalve::workflows {
 
-void LossLedger::lost(LifeNumber life, const TaskAddress &task, bool isEarly)
+void TargetLossTracker::lost(IncarnationId incarnation, const TaskAddress &task, bool isEarly)
 {
-    std::vector<Loss> &losses = this->open[life];
+    std::vector<Loss> &losses = this->open[incarnation];
     LossCount &count = this->counts[task];
     const auto known = std::find_if(losses.begin(), losses.end(),
                                     [&](const Loss &loss) { return loss.task == task; });
@@ -23,10 +23,10 @@
 
 /// Takes the open losses of a life from the counts of their tasks. Tasks that were forgotten
 /// meanwhile are left out.
-std::vector<LossLedger::Loss> LossLedger::close(LifeNumber life)
+std::vector<TargetLossTracker::Loss> TargetLossTracker::close(IncarnationId incarnation)
 {
     std::vector<Loss> closed;
-    const auto found = this->open.find(life);
+    const auto found = this->open.find(incarnation);
     if (found == this->open.end())
         return closed;
     for (const Loss &loss : found->second) {
@@ -41,9 +41,9 @@
     return closed;
 }
 
-std::vector<TaskAddress> LossLedger::crashed(LifeNumber life)
+std::vector<TaskAddress> TargetLossTracker::crashed(IncarnationId incarnation)
 {
-    const std::vector<Loss> losses = this->close(life);
+    const std::vector<Loss> losses = this->close(incarnation);
     std::uint16_t mostBefore = 0;
     for (const Loss &loss : losses) {
         if (loss.isEarly)
@@ -60,29 +60,29 @@
     return hopeless;
 }
 
-void LossLedger::survived(LifeNumber life)
+void TargetLossTracker::survived(IncarnationId incarnation)
 {
-    for (const Loss &loss : this->close(life)) {
+    for (const Loss &loss : this->close(incarnation)) {
         const auto count = this->counts.find(loss.task);
         if (count->second.open == 0 && count->second.crashes == 0)
             this->counts.erase(count);
     }
 }
 
-void LossLedger::forget(const TaskAddress &task)
+void TargetLossTracker::forget(const TaskAddress &task)
 {
     if (this->counts.erase(task) == 0)
         return;
-    for (auto life = this->open.begin(); life != this->open.end();) {
-        std::vector<Loss> &losses = life->second;
+    for (auto incarnation = this->open.begin(); incarnation != this->open.end();) {
+        std::vector<Loss> &losses = incarnation->second;
         losses.erase(std::remove_if(losses.begin(), losses.end(),
                                     [&](const Loss &loss) { return loss.task == task; }),
                      losses.end());
-        life = losses.empty() ? this->open.erase(life) : std::next(life);
+        incarnation = losses.empty() ? this->open.erase(incarnation) : std::next(incarnation);
     }
 }
 
-void LossLedger::forget(WorkflowId workflow)
+void TargetLossTracker::forget(WorkflowId workflow)
 {
     for (auto count = this->counts.lower_bound({{workflow, 0, 0}, 0});
          count != this->counts.end() && count->first.step.workflow == workflow;
@@ -90,10 +90,10 @@
         this->forget(TaskAddress(count->first));
 }
 
-std::vector<TaskAddress> LossLedger::lostWith(LifeNumber life) const
+std::vector<TaskAddress> TargetLossTracker::lostWith(IncarnationId incarnation) const
 {
     std::vector<TaskAddress> tasks;
-    const auto found = this->open.find(life);
+    const auto found = this->open.find(incarnation);
     if (found == this->open.end())
         return tasks;
     for (const Loss &loss : found->second)
@@ -101,20 +101,20 @@
     return tasks;
 }
 
-LossCount LossLedger::count(const TaskAddress &task) const
+LossCount TargetLossTracker::count(const TaskAddress &task) const
 {
     const auto found = this->counts.find(task);
     return found == this->counts.end() ? LossCount{} : found->second;
 }
 
-bool LossLedger::mayStart(const TaskAddress &task) const
+bool TargetLossTracker::mayStart(const TaskAddress &task) const
 {
     const LossCount count = this->count(task);
     return count.crashes + count.open < static_cast<int>(mostCrashes)
         && count.earlyCrashes + count.earlyOpen < static_cast<int>(mostEarlyCrashes);
 }
 
-bool LossLedger::isSuspect(const TaskAddress &task) const
+bool TargetLossTracker::isSuspect(const TaskAddress &task) const
 {
     const LossCount count = this->count(task);
     return count.earlyCrashes + count.earlyOpen > 0;
--- a/test/workflows/crashingtasktest.cpp
+++ b/test/workflows/crashingtasktest.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
 #include "workflows/randomrounds.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
@@ -30,32 +30,32 @@
 TEST_CASE_METHOD(CrashingTaskFixture, "a task that crashes each target that starts it is given up",
                  "[crashes]")
 {
-    this->renamesReborn = GENERATE(false, true);
-    this->submit(job, {BookFixture::step(1)});
+    this->renamesRestarted = GENERATE(false, true);
+    this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
 TEST_CASE_METHOD(CrashingTaskFixture, "crashes are counted across changes of controller",
                  "[crashes]")
 {
-    this->renamesReborn = GENERATE(false, true);
-    this->submit(job, {BookFixture::step(1)});
+    this->renamesRestarted = GENERATE(false, true);
+    this->submit(job, {StoreFixture::step(1)});
     for (int i = 0; i < 40; ++i) {
         this->runFor(Milliseconds(1700));
         this->changeController(Milliseconds(800));
     }
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
 TEST_CASE_METHOD(CrashingTaskFixture, "a gang with a member that crashes its targets is given up",
                  "[crashes]")
 {
-    this->submit(job, {BookFixture::gang(4)});
+    this->submit(job, {StoreFixture::gang(4)});
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
@@ -63,13 +63,13 @@
                  "[crashes]")
 {
     constexpr std::uint64_t neighbours = 20;
-    this->submit(job, {BookFixture::step(2)});
+    this->submit(job, {StoreFixture::step(2)});
     for (std::uint64_t i = 2; i < 2 + neighbours; ++i) {
-        this->submit(static_cast<WorkflowId>(i), {BookFixture::step(2), BookFixture::gang(2)});
+        this->submit(static_cast<WorkflowId>(i), {StoreFixture::step(2), StoreFixture::gang(2)});
         this->runFor(Milliseconds(500));
     }
     this->runFor(Milliseconds(60000));
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
     CHECK(this->stateOf(job) == WorkflowState::Failed);
     for (std::uint64_t i = 2; i < 2 + neighbours; ++i)
         CHECK(this->stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
@@ -79,7 +79,7 @@
                  "[crashes]")
 {
     this->fleet.crashing.clear();
-    this->submit(job, {BookFixture::step(1)});
+    this->submit(job, {StoreFixture::step(1)});
     for (int i = 0; i < 8 && !this->isAllOver(); ++i) {
         this->runFor(Milliseconds(50));
         for (const std::string &name : this->fleet.names())
@@ -91,23 +91,23 @@
     }
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
-    CHECK(this->fleet.breach.empty());
+    CHECK(this->fleet.violation.empty());
 }
 
 TEST_CASE_METHOD(CrashingTaskFixture, "work on targets that are cut off for long is not given up",
                  "[crashes]")
 {
     this->fleet.crashing.clear();
-    this->submit(job, {BookFixture::step(1)});
-    LifeNumber cutOff = LifeNumber::None;
-    for (unsigned cuts = 0; cuts < LossLedger::mostEarlyCrashes;) {
+    this->submit(job, {StoreFixture::step(1)});
+    IncarnationId cutOff = IncarnationId::None;
+    for (unsigned cuts = 0; cuts < TargetLossTracker::mostEarlyCrashes;) {
         this->runFor(Milliseconds(50));
-        const TaskProgress task = this->machine.read([](const Book &book) {
-            return *book.find(job)->task({{job, 0, 0}, 0});
+        const TaskProgress task = this->machine.read([](const WorkflowStore &store) {
+            return *store.find(job)->task({{job, 0, 0}, 0});
         });
-        if (task.phase != TaskPhase::Placed || task.life == cutOff)
+        if (task.phase != TaskPhase::Placed || task.incarnation == cutOff)
             continue;
-        cutOff = task.life;
+        cutOff = task.incarnation;
         this->fleet.cut("t" + std::to_string(idValue(cutOff)), false);
         ++cuts;
     }
@@ -144,14 +144,14 @@
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed, 12);
-    simulation.renamesReborn = seed % 2 == 0;
+    simulation.renamesRestarted = seed % 2 == 0;
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     for (std::uint64_t id = 1; id <= 30; id += crashingOneIn)
         simulation.fleet.crashing.insert({{static_cast<WorkflowId>(id), 0, 0}, 0});
     RandomRounds rounds;
-    rounds.mostSteps = 2;
+    rounds.maxSteps = 2;
     rounds.disturb = [&] { disturbTargets(simulation, random); };
-    const std::uint64_t last = playRounds(simulation, random, rounds);
+    const std::uint64_t last = runRounds(simulation, random, rounds);
     for (const std::string &name : simulation.fleet.names())
         simulation.fleet.heal(name);
     checkOutcome(simulation, seed);
@@ -164,7 +164,7 @@
         if (number % crashingOneIn == 1)
             CHECK(isGivenUp);
         if (isGivenUp)
-            CHECK(simulation.fleet.crashesUnder(id) >= LossLedger::mostEarlyCrashes);
+            CHECK(simulation.fleet.crashesUnder(id) >= TargetLossTracker::mostEarlyCrashes);
     }
 }
 
@@ -175,5 +175,5 @@
 TEST_CASE("only work whose targets crash again and again is given up, whatever else happens",
           "[crashes][random]")
 {
-    playSeeds(defaultSeeds, playCrashes);
+    runSeeds(defaultSeeds, playCrashes);
 }
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
-#include "workflows/bookfixture.h"
 #include "workflows/simulation.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
@@ -23,7 +23,7 @@
 {
     for (int i = 0; i < count; ++i) {
         const bool isGang = i % 4 == 0;
-        const StepSpec step = isGang ? BookFixture::gang(20) : BookFixture::step(10);
+        const StepSpec step = isGang ? StoreFixture::gang(20) : StoreFixture::step(10);
         simulation.submit(static_cast<WorkflowId>(++lastId), {step});
     }
 }
@@ -86,7 +86,7 @@
         }
         calmDown(simulation);
         simulation.runFor(Milliseconds(30000));
-        CHECK(simulation.fleet.breach.empty());
+        CHECK(simulation.fleet.violation.empty());
         CHECK(simulation.isAllOver());
     }
 }
@@ -104,7 +104,7 @@
     CHECK(simulation.fleet.starts == 0);
     simulation.fleet.faults.unsentStart = 0.0;
     simulation.runFor(Milliseconds(10000));
-    CHECK(simulation.fleet.breach.empty());
+    CHECK(simulation.fleet.violation.empty());
     CHECK(simulation.isAllOver());
 }
 
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -65,33 +65,33 @@
     this->reigns.push_back(std::move(reign));
 }
 
-void Simulation::beat(const std::string &name)
+void Simulation::heartbeat(const std::string &name)
 {
     TargetReport report;
     report.identity = this->identities.at(name);
     report.isReady = this->draining.count(name) == 0;
     report.sequence = ++this->sequence;
-    this->controller().targetHeard(report, [](const Result<Nothing> &) {});
+    this->controller().heartbeatReceived(report, [](const Result<Nothing> &) {});
 }
 
 void Simulation::drain(const std::string &name)
 {
     this->draining.insert(name);
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::restart(const std::string &name)
 {
     this->draining.erase(name);
     this->identities[name] = this->fleet.add(name, this->milliCores, Simulation::domainOf(name));
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::resize(const std::string &name, std::int64_t milliCores)
 {
     this->fleet.resize(name, milliCores);
     this->identities.at(name).capacity[ResourceKind::MilliCores] = milliCores;
-    this->beat(name);
+    this->heartbeat(name);
 }
 
 void Simulation::replace(const std::string &name)
@@ -104,7 +104,7 @@
 
 void Simulation::rebirth(const std::string &name)
 {
-    if (this->renamesReborn)
+    if (this->renamesRestarted)
         this->replace(name);
     else
         this->restart(name);
@@ -113,7 +113,7 @@
 void Simulation::leave(const std::string &name)
 {
     this->fleet.crash(name);
-    this->controller().targetLeft(name, this->identities.at(name).bornAtMs,
+    this->controller().targetLeft(name, this->identities.at(name).startedAtMs,
                                   [](const Result<Nothing> &) {});
 }
 
@@ -156,7 +156,7 @@
         const Milliseconds part = std::min(span, beatInterval);
         for (const auto &[name, identity] : this->identities) {
             if (this->fleet.isUp(name))
-                this->beat(name);
+                this->heartbeat(name);
         }
         this->loop.runFor(part);
         span -= part;
@@ -165,17 +165,18 @@
 
 bool Simulation::isAccepted(WorkflowId id) const
 {
-    return this->machine.read([id](const Book &book) { return book.find(id) != nullptr; });
+    return this->machine.read(
+        [id](const WorkflowStore &store) { return store.find(id) != nullptr; });
 }
 
 WorkflowState Simulation::stateOf(WorkflowId id) const
 {
-    return this->machine.read([id](const Book &book) { return book.find(id)->state(); });
+    return this->machine.read([id](const WorkflowStore &store) { return store.find(id)->state(); });
 }
 
 bool Simulation::isAllOver() const
 {
-    return this->machine.read([](const Book &book) { return book.live().empty(); });
+    return this->machine.read([](const WorkflowStore &store) { return store.live().empty(); });
 }
 
 } // namespace guavavalve::workflows
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -1,9 +1,9 @@
 #include <catch2/catch.hpp>
 
 #include "workflows/agentpool.h"
-#include "workflows/bookfixture.h"
 #include "workflows/randomrounds.h"
 #include "workflows/simulatedagents.h"
+#include "workflows/storefixture.h"
 
 #include <spdlog/spdlog.h>
 
@@ -69,10 +69,10 @@
     simulation.changeController(Milliseconds(0));
     simulation.fleet.faults = {0.03, 0.05, 0.04, 0.05};
     RandomRounds rounds;
-    rounds.mostSteps = 2;
-    rounds.calmFor = 3;
+    rounds.maxSteps = 2;
+    rounds.roundsPerDisturbance = 3;
     rounds.disturb = [&] { disturb(simulation, agents, random); };
-    const std::uint64_t handedIn = playRounds(simulation, random, rounds);
+    const std::uint64_t handedIn = runRounds(simulation, random, rounds);
     simulation.fleet.faults = {};
     for (unsigned agent = 1; agent <= agentCount; ++agent)
         agents.wake(agent);
@@ -153,11 +153,11 @@
     const auto port = agents.portOf(0);
     const TargetIdentity target = fleet.add("t1", 4000);
     WorkflowSpec spec;
-    spec.id = BookFixture::job;
-    spec.steps = {BookFixture::step(1)};
+    spec.id = StoreFixture::job;
+    spec.steps = {StoreFixture::step(1)};
     fleet.announce(spec);
     StartOrder order;
-    order.task = {{BookFixture::job, 0, 0}, 0};
+    order.task = {{StoreFixture::job, 0, 0}, 0};
     order.run = 1;
     order.term = 1;
     order.leaseUntilMs = 6000;
@@ -201,5 +201,5 @@
     "agents that freeze with orders in hand, are killed and wake run each task once at a time",
     "[random][agents]")
 {
-    playSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, play);
 }
