--- a/src/decisions/deadlines.h
+++ b/src/decisions/deadlines.h
@@ -9,8 +9,8 @@
 
 namespace guavavalve::internal {
 
-/// Waiting tasks by the time they must start. An entry whose task is gone is only passed over
-/// when its time comes, so that cancelling stays constant work.
+/// Waiting tasks ordered by the time by which they must start. Cancelling a task leaves its entry
+/// in place, so that it takes constant time; the caller ignores the entry when it comes due.
 class Deadlines
 {
 public:
--- a/src/decisions/decayingrate.h
+++ b/src/decisions/decayingrate.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve::internal {
 
-/// Events a second, weighted by age with a time constant: constant space, no history.
+/// Exponentially decaying event rate. Uses constant space; no event history is kept.
 class DecayingRate
 {
 public:
@@ -16,7 +16,7 @@
         this->last = now;
     }
 
-    /// The rate as it stands at \a now, events a second.
+    /// The rate at \a now, in events per second.
     double at(Instant now) const
     {
         const double age = std::chrono::duration<double>(now - this->last).count();
--- a/src/decisions/fleet.cpp
+++ b/src/decisions/fleet.cpp
@@ -7,25 +7,27 @@
 
 namespace {
 
-/// Parts into which the largest target's processors and memory are divided to tell buckets apart.
+/// Number of levels by which buckets quantize free processors and memory, relative to the largest
+/// target.
 constexpr std::int64_t roomLevels = 8;
 constexpr std::int64_t maxAcceleratorLevel = 4;
 constexpr std::uint32_t domainsInKey = 64;
-/// Members weighed in each of the best buckets.
-constexpr std::size_t membersWeighed = 8;
-/// Members looked at in a bucket of which only some have enough room.
-constexpr std::size_t membersScanned = 64;
+/// Members scored in each of the best buckets.
+constexpr std::size_t maxMembersScored = 8;
+/// Members examined in a bucket of which only some have enough room.
+constexpr std::size_t maxMembersScanned = 64;
 constexpr std::size_t bestBuckets = 4;
-/// Buckets looked at when the best ones hold no fit.
-constexpr std::size_t moreBuckets = 16;
-/// Sets a bucket back whose sample does not fit: others of it may, but others fit surely.
-constexpr double unsureWeight = 1.0;
+/// Buckets searched when the best ones contain no fit.
+constexpr std::size_t maxFallbackBuckets = 16;
+/// Ranks a bucket lower if its sampled member does not fit: other members may, but buckets whose
+/// sample fits are certain to contain a fit.
+constexpr double sampleMissPenalty = 1.0;
 
-// Weights of the score, chosen by measurement (docs/design/decisions.md).
+// Weights of the score; see docs/design/decisions.md.
 constexpr double imbalanceWeight = 1.0;
 constexpr double strandedAcceleratorWeight = 4.0;
 constexpr double suspicionWeight = 0.5;
-/// A domain with one task more weighs more than any difference in fit.
+/// One more task in the same domain outweighs any difference in fit.
 constexpr double domainWeight = 100.0;
 constexpr double rackWeight = 10.0;
 
@@ -59,14 +61,15 @@
 {
     TargetRecord &target = this->targets[index];
     this->leaveBucket(target);
-    if (target.sizeClass == noIndex || target.staying != (target.known && !target.info.departing)
+    if (target.sizeClass == noIndex
+        || target.countedInTotal != (target.known && !target.info.departing)
         || this->sizes[target.sizeClass].total != target.info.total)
-        this->countSize(target);
+        this->updateSizeClass(target);
     this->freeInNormal -= this->countedFree[index];
     this->countedFree[index] = Resources();
     if (target.availability() == Availability::Closed)
         return;
-    this->widenLargest(target.info.total);
+    this->growLargest(target.info.total);
     this->enterBucket(index);
     if (target.availability() == Availability::Normal) {
         this->countedFree[index] = target.sharedFree();
@@ -74,36 +77,36 @@
     }
 }
 
-void Fleet::setHeadroom(Index index, const Resources &hold)
+void Fleet::setHeadroom(Index index, const Resources &headroom)
 {
     TargetRecord &target = this->targets[index];
-    target.hold = hold;
-    const bool holds = hold != Resources();
-    if (holds && target.holdPosition == noIndex) {
-        target.holdPosition = static_cast<Index>(this->holding.size());
-        this->holding.push_back(index);
-    } else if (!holds && target.holdPosition != noIndex) {
-        this->holding[target.holdPosition] = this->holding.back();
-        this->targets[this->holding.back()].holdPosition = target.holdPosition;
-        this->holding.pop_back();
-        target.holdPosition = noIndex;
+    target.headroom = headroom;
+    const bool hasHeadroom = headroom != Resources();
+    if (hasHeadroom && target.headroomPosition == noIndex) {
+        target.headroomPosition = static_cast<Index>(this->withHeadroom.size());
+        this->withHeadroom.push_back(index);
+    } else if (!hasHeadroom && target.headroomPosition != noIndex) {
+        this->withHeadroom[target.headroomPosition] = this->withHeadroom.back();
+        this->targets[this->withHeadroom.back()].headroomPosition = target.headroomPosition;
+        this->withHeadroom.pop_back();
+        target.headroomPosition = noIndex;
     }
     this->refresh(index);
 }
 
-void Fleet::countSize(TargetRecord &target)
+void Fleet::updateSizeClass(TargetRecord &target)
 {
     if (target.sizeClass != noIndex) {
         SizeClass &size = this->sizes[target.sizeClass];
-        if (target.staying) {
-            --this->knownCount;
-            this->totalRoom -= size.total;
+        if (target.countedInTotal) {
+            --this->nonDeparting;
+            this->totalCapacity -= size.total;
         }
         --size.targets;
         --this->announcedCount;
         target.sizeClass = noIndex;
     }
-    target.staying = target.known && !target.info.departing;
+    target.countedInTotal = target.known && !target.info.departing;
     if (!target.known)
         return;
     auto size = std::find_if(this->sizes.begin(), this->sizes.end(), [&target](const auto &entry) {
@@ -119,13 +122,13 @@
     ++size->targets;
     ++this->announcedCount;
     target.sizeClass = static_cast<Index>(size - this->sizes.begin());
-    if (target.staying) {
-        ++this->knownCount;
-        this->totalRoom += target.info.total;
+    if (target.countedInTotal) {
+        ++this->nonDeparting;
+        this->totalCapacity += target.info.total;
     }
 }
 
-void Fleet::widenLargest(const Resources &total)
+void Fleet::growLargest(const Resources &total)
 {
     if (total.fitsInto(this->largestTotal))
         return;
@@ -135,8 +138,8 @@
         if (largestAmount > 0)
             this->inverseLargest[kind] = 1.0 / static_cast<double>(largestAmount);
     }
-    // Keys are relative to the largest target, so every target may change its bucket. This
-    // happens once for each size that is larger than all before.
+    // Keys are relative to the largest target, so every target may have to change its bucket. This
+    // happens only when a target is announced that is larger than all previous ones.
     for (Index index = 0; index < this->targets.limit(); ++index) {
         if (this->targets[index].bucket == noIndex)
             continue;
@@ -182,18 +185,18 @@
 void Fleet::activate(Index index)
 {
     Bucket &bucket = this->buckets[index];
-    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
-    bucket.activePosition = static_cast<Index>(zoneBuckets.size());
-    zoneBuckets.push_back(index);
+    auto &activeBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
+    bucket.activePosition = static_cast<Index>(activeBuckets.size());
+    activeBuckets.push_back(index);
 }
 
 void Fleet::deactivate(Index index)
 {
     Bucket &bucket = this->buckets[index];
-    auto &zoneBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
-    zoneBuckets[bucket.activePosition] = zoneBuckets.back();
-    this->buckets[zoneBuckets.back()].activePosition = bucket.activePosition;
-    zoneBuckets.pop_back();
+    auto &activeBuckets = this->active[static_cast<std::size_t>(bucket.availability)];
+    activeBuckets[bucket.activePosition] = activeBuckets.back();
+    this->buckets[activeBuckets.back()].activePosition = bucket.activePosition;
+    activeBuckets.pop_back();
     bucket.activePosition = noIndex;
 }
 
@@ -254,7 +257,7 @@
                  TargetFound &found)
 {
     const std::size_t size = bucket.members.size();
-    const std::size_t looks = std::min(size, membersScanned);
+    const std::size_t looks = std::min(size, maxMembersScanned);
     std::size_t weighed = 0;
     Resources largest;
     for (std::size_t look = 0; look < looks && weighed < most; ++look) {
@@ -273,7 +276,8 @@
             found.target = member.target;
         }
     }
-    // The bound only ever rises as members come and go; now that all have been seen, it is known.
+    // The bound only ever rises as members come and go. All members have just been examined, so it
+    // can be made exact.
     if (weighed == 0 && looks == size)
         bucket.maxFree = largest;
 }
@@ -296,7 +300,7 @@
         if (search.spread != nullptr)
             rank.score += this->spreadPenalty(search.spread, this->targets[sample.target]);
         if (!search.need.fitsInto(sample.free))
-            rank.score += unsureWeight;
+            rank.score += sampleMissPenalty;
         if (ranked < bestBuckets) {
             ranks[ranked++] = rank;
             continue;
@@ -308,12 +312,12 @@
             *worst = rank;
     }
     for (std::size_t i = 0; i < ranked; ++i)
-        this->scan(search, this->buckets[ranks[i].bucket], membersWeighed, best, found);
+        this->scan(search, this->buckets[ranks[i].bucket], maxMembersScored, best, found);
     if (found.target != noIndex || possible <= ranked)
         return found;
     std::size_t tries = 0;
     const std::vector<Index> &candidates = this->activeIn(search.availability);
-    for (std::size_t i = 0; i < candidates.size() && tries < moreBuckets; ++i) {
+    for (std::size_t i = 0; i < candidates.size() && tries < maxFallbackBuckets; ++i) {
         Bucket &bucket = this->buckets[candidates[(this->scanStart + i) % candidates.size()]];
         if (!search.need.fitsInto(bucket.maxFree))
             continue;
--- a/src/decisions/fleet.h
+++ b/src/decisions/fleet.h
@@ -14,27 +14,27 @@
 
 namespace guavavalve::internal {
 
-/// What to look for on the fleet.
+/// Search criteria for a placement.
 struct TargetSearch
 {
     Resources need;
     Availability availability = Availability::Normal;
-    const Spread *spread = nullptr; ///< of the service that the task belongs to
+    const Spread *spread = nullptr; ///< of the task's service, or null
 };
 
-/// What a search found.
+/// Result of a search.
 struct TargetFound
 {
     Index target = noIndex;
-    std::uint32_t considered = 0; ///< targets weighed
+    std::uint32_t considered = 0; ///< targets that were scored
 };
 
-/// All targets, indexed by the room that is left on them: targets with about the same room share
-/// a bucket, and a search goes over buckets, so that its cost does not grow with the fleet.
+/// All targets, indexed by their free capacity. Targets with similar free capacity share a bucket,
+/// and a search goes over buckets, so that its cost does not grow with the fleet.
 class Fleet
 {
 public:
-    /// The record of \a id, made if there is none.
+    /// The record of \a id; creates it if there is none.
     Index indexOf(TargetId id);
 
     /// The record of \a id or noIndex.
@@ -44,39 +44,45 @@
     const TargetRecord &operator[](Index target) const { return this->targets[target]; }
     Index limit() const { return this->targets.limit(); }
 
-    /// To be called after any change of a target that bears on its room, zone or size.
+    /// Must be called after any change to a target's free capacity, availability or size.
     void refresh(Index target);
 
-    /// The target where \a search fits best: little is left over, and evenly over the kinds of
-    /// resource, so that what is left can be used (best fit with the alignment idea of Tetris,
-    /// Grandl et al., 2014).
+    /// The target that fits \a search best: it has the least capacity left over, balanced across
+    /// the kinds of resource so that the remainder stays usable. This is best fit combined with
+    /// the alignment idea of Tetris (Grandl et al., 2014).
     TargetFound find(const TargetSearch &search);
 
-    /// How well \a need fits into \a free on a target that is suspect to the degree \a suspicion;
-    /// the lower, the better.
+    /// Rates the fit of \a need into \a free on a target with the given \a suspicion. Lower is
+    /// better.
     double score(const Resources &need, const Resources &free, float suspicion) const;
 
-    /// How many tasks of \a need the announced targets would hold if they were empty, counted up
-    /// to \a enough. Departing ones count: they are about to be replaced, not gone for ever.
+    /// The number of tasks of \a need that the announced targets could hold if they were empty;
+    /// counting stops once \a enough is reached. Departing targets are included, since they are
+    /// expected to be replaced.
     std::uint64_t capacityFor(const Resources &need, std::uint64_t enough) const;
 
-    const Resources &total() const { return this->totalRoom; } ///< of known, staying targets
-    const Resources &largest() const { return this->largestTotal; } ///< ever seen, by kind
-    const Resources &normalFree() const { return this->freeInNormal; } ///< free in Zone::Normal
+    /// Total capacity of the targets that are known and not departing.
+    const Resources &total() const { return this->totalCapacity; }
 
-    /// Keeps \a hold of the target for prompt work; nothing to let go.
-    void setHeadroom(Index target, const Resources &hold);
+    /// Largest amount of each kind of resource that any target has announced so far.
+    const Resources &largest() const { return this->largestTotal; }
 
-    /// Targets with a hold, in no order.
-    const std::vector<Index> &headroomTargets() const { return this->holding; }
-    std::uint32_t known() const { return this->knownCount; }
-    bool empty() const { return this->announcedCount == 0; } ///< none is announced
+    /// Free capacity of the targets in Availability::Normal.
+    const Resources &normalFree() const { return this->freeInNormal; }
+
+    /// Reserves \a headroom on the target for prompt work; an empty value removes it.
+    void setHeadroom(Index target, const Resources &headroom);
+
+    /// Targets with headroom, in no particular order.
+    const std::vector<Index> &headroomTargets() const { return this->withHeadroom; }
+    std::uint32_t nonDepartingTargets() const { return this->nonDeparting; }
+    bool empty() const { return this->announcedCount == 0; } ///< no target is announced
 
 private:
-    /// A target in its bucket, with what a search needs to know of it side by side in memory.
+    /// A target in its bucket. The fields that a search reads are kept contiguous in memory.
     struct Member
     {
-        Resources free; ///< for work other than prompt
+        Resources free; ///< available to work other than prompt
         Index target = noIndex;
         float suspicion = 0.0F;
     };
@@ -85,16 +91,16 @@
         std::uint32_t key = 0;
         Availability availability = Availability::Normal;
         std::uint16_t domain = 0;
-        Index activePosition = noIndex; ///< among the buckets of its zone with members
+        Index activePosition = noIndex; ///< in the list of non-empty buckets with its availability
         std::vector<Member> members;
-        Resources maxFree; ///< at least what any member has
+        Resources maxFree; ///< upper bound of the members' free capacity
     };
     struct SizeClass
     {
         Resources total;
         std::uint32_t targets = 0;
     };
-    /// A bucket that may hold a fit, with the score of one of its members.
+    /// A bucket that may contain a fit, with the score of one sampled member.
     struct BucketRank
     {
         double score = 0.0;
@@ -110,8 +116,8 @@
     {
         return this->active[static_cast<std::size_t>(availability)];
     }
-    void countSize(TargetRecord &target);
-    void widenLargest(const Resources &total);
+    void updateSizeClass(TargetRecord &target);
+    void growLargest(const Resources &total);
     void scan(const TargetSearch &search, Bucket &bucket, std::size_t most, double &best,
               TargetFound &found);
     double spreadPenalty(const Spread *spread, const TargetRecord &target) const;
@@ -119,18 +125,18 @@
     Slab<TargetRecord> targets;
     std::unordered_map<TargetId, Index> byId;
     std::vector<Bucket> buckets; ///< grows to the number of distinct keys seen
-    std::array<std::vector<Index>, availabilityCount> active; ///< buckets with members, by zone
+    std::array<std::vector<Index>, availabilityCount> active; ///< non-empty buckets
     std::unordered_map<std::uint32_t, Index> bucketByKey;
     std::vector<SizeClass> sizes;
     Resources largestTotal;
     std::array<double, resourceKindCount> inverseLargest{};
-    Resources totalRoom;
+    Resources totalCapacity;
     Resources freeInNormal;
-    std::vector<Resources> countedFree; ///< by target: its part in freeInNormal
-    std::vector<Index> holding;
-    std::size_t scanStart = 0; ///< goes round, so that every member is looked at in time
-    std::uint32_t knownCount = 0;
-    std::uint32_t announcedCount = 0; ///< departing ones included
+    std::vector<Resources> countedFree; ///< by target: its contribution to freeInNormal
+    std::vector<Index> withHeadroom;
+    std::size_t scanStart = 0; ///< rotates, so that every member is visited eventually
+    std::uint32_t nonDeparting = 0;
+    std::uint32_t announcedCount = 0; ///< includes departing targets
 };
 
 } // namespace guavavalve::internal
--- a/src/decisions/headroom.cpp
+++ b/src/decisions/headroom.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-/// Standard deviations of a Poisson load above its mean that the pool holds.
-constexpr double deviationsHeld = 2.5;
-/// The pool shrinks only when it is larger than wanted by this factor, so that it does not swing.
-constexpr double shrinkAbove = 1.02;
-/// Assumed until prompt tasks have ended.
+/// Standard deviations above the mean of a Poisson load that the pool covers.
+constexpr double deviationsCovered = 2.5;
+/// The pool shrinks only while it exceeds the wanted size by this factor, to avoid oscillation.
+constexpr double shrinkThreshold = 1.02;
+/// Mean run time assumed until the first prompt task has ended.
 constexpr double assumedRunSeconds = 0.1;
-/// Arrivals a second below which nothing is kept.
-constexpr double quietRate = 0.01;
-/// Part of a target that is held; the rest is for other work.
-constexpr double partHeld = 0.125;
-constexpr Index maxTargetsSeen = 32;
-constexpr std::size_t minChangesAtOnce = 2;
-constexpr std::size_t changesPart = 16;
-constexpr std::size_t maxChangesAtOnce = 64;
-/// Targets of the pool that are looked at anew in one update.
-constexpr std::size_t renewedAtOnce = 1024;
+/// Arrivals per second below which no headroom is kept.
+constexpr double minArrivalRate = 0.01;
+/// Fraction of a target that is reserved for prompt work; the rest is for other work.
+constexpr double heldFraction = 0.125;
+constexpr Index maxTargetsScanned = 32;
+constexpr std::size_t minChangesPerUpdate = 2;
+constexpr std::size_t poolTargetsPerChange = 16;
+constexpr std::size_t maxChangesPerUpdate = 64;
+/// Pool targets whose headroom is recomputed in one update.
+constexpr std::size_t refreshedPerUpdate = 1024;
 
 } // namespace
 
-Headroom::Headroom(Ledger &books)
-    : ledger(books)
+Headroom::Headroom(Ledger &sharedLedger)
+    : ledger(sharedLedger)
 {}
 
 void Headroom::promptArrived(const Resources &charge, Instant now)
@@ -56,12 +56,12 @@
 double Headroom::wantedTasks(Instant now) const
 {
     const double rate = this->arrivals.at(now);
-    if (rate < quietRate)
+    if (rate < minArrivalRate)
         return 0.0;
     const double seconds =
         this->runSeconds.count() > 0 ? this->runSeconds.mean() : assumedRunSeconds;
     const double load = rate * seconds;
-    return load + deviationsHeld * std::sqrt(load) + 1.0;
+    return load + deviationsCovered * std::sqrt(load) + 1.0;
 }
 
 double Headroom::capacityOf(const TargetRecord &target, const Resources &charge) const
@@ -77,12 +77,12 @@
     return capacity;
 }
 
-double Headroom::tasksOn(const TargetRecord &target, const Resources &charge,
-                         double wantedEach) const
+double Headroom::tasksToHold(const TargetRecord &target, const Resources &charge,
+                             double tasksPerTarget) const
 {
     const double capacity = this->capacityOf(target, charge);
-    const double part = std::max(std::floor(capacity * partHeld), 1.0);
-    return std::clamp(wantedEach, std::min(part, capacity), capacity);
+    const double part = std::max(std::floor(capacity * heldFraction), 1.0);
+    return std::clamp(tasksPerTarget, std::min(part, capacity), capacity);
 }
 
 void Headroom::update(Instant now)
@@ -93,55 +93,57 @@
         return;
     const Resources charge = this->meanCharge();
     const double part = this->ledger.policy.of(WorkClass::Prompt).maxShare;
-    const auto most =
-        static_cast<std::size_t>(part * static_cast<double>(this->ledger.fleet.known()));
-    // Where the part of each target is not enough over all targets, more of each is kept.
+    const auto most = static_cast<std::size_t>(
+        part * static_cast<double>(this->ledger.fleet.nonDepartingTargets()));
+    // If the default fraction is not enough over all targets allowed, more of each is reserved.
     const double each = std::ceil(wanted / static_cast<double>(std::max<std::size_t>(most, 1)));
-    this->held.resize(this->ledger.fleet.limit());
-    this->renew(charge, each);
-    std::size_t changes = std::min(minChangesAtOnce + pool.size() / changesPart, maxChangesAtOnce);
+    this->headroomByTarget.resize(this->ledger.fleet.limit());
+    this->refreshPool(charge, each);
+    std::size_t changes =
+        std::min(minChangesPerUpdate + pool.size() / poolTargetsPerChange, maxChangesPerUpdate);
     while (this->capacity < wanted && pool.size() < most && changes-- > 0) {
-        const Index target = this->pick(charge);
+        const Index target = this->pickTarget(charge);
         if (target == noIndex)
             return;
-        this->hold(target, charge, each);
+        this->reserveOn(target, charge, each);
     }
     while (!pool.empty() && changes-- > 0) {
-        const double last = this->held[pool.back()].tasks;
-        if (wanted > 0.0 && this->capacity - last < wanted * shrinkAbove)
+        const double last = this->headroomByTarget[pool.back()].tasks;
+        if (wanted > 0.0 && this->capacity - last < wanted * shrinkThreshold)
             return;
-        this->letGo(pool.back());
+        this->releaseTarget(pool.back());
     }
 }
 
-void Headroom::renew(const Resources &charge, double wantedEach)
+void Headroom::refreshPool(const Resources &charge, double tasksPerTarget)
 {
     const std::vector<Index> &pool = this->ledger.fleet.headroomTargets();
-    for (std::size_t i = 0; i < renewedAtOnce && !pool.empty(); ++i) {
-        this->renewCursor = (this->renewCursor + 1) % pool.size();
-        const Index index = pool[this->renewCursor];
+    for (std::size_t i = 0; i < refreshedPerUpdate && !pool.empty(); ++i) {
+        this->refreshCursor = (this->refreshCursor + 1) % pool.size();
+        const Index index = pool[this->refreshCursor];
         if (this->ledger.fleet[index].availability() == Availability::Closed)
-            this->letGo(index);
+            this->releaseTarget(index);
         else
-            this->hold(index, charge, wantedEach);
+            this->reserveOn(index, charge, tasksPerTarget);
         if (i + 1 >= pool.size())
             return;
     }
 }
 
-Index Headroom::pick(const Resources &charge)
+Index Headroom::pickTarget(const Resources &charge)
 {
     const Index limit = this->ledger.fleet.limit();
     Index best = noIndex;
     double bestScore = std::numeric_limits<double>::max();
-    for (Index i = 0; i < std::min(limit, maxTargetsSeen); ++i) {
+    for (Index i = 0; i < std::min(limit, maxTargetsScanned); ++i) {
         this->cursor = (this->cursor + 1) % limit;
         const TargetRecord &target = this->ledger.fleet[this->cursor];
-        if (target.availability() != Availability::Normal || target.holdPosition != noIndex
+        if (target.availability() != Availability::Normal || target.headroomPosition != noIndex
             || !charge.fitsInto(target.info.total))
             continue;
-        // Spread over failure domains first; then where least stands that has to end before the
-        // room is there, and where no accelerator is kept from those that need one.
+        // Spreads over failure domains first. Then prefers targets with little placed, whose
+        // headroom is available sooner, and targets without accelerators, which other work may
+        // need.
         const double score = 10.0 * this->domains[target.info.failureDomain % this->domains.size()]
             + target.placed.dominantShare(target.info.total)
             + (target.info.total[ResourceKind::Accelerators] > 0 ? 1.0 : 0.0);
@@ -153,34 +155,34 @@
     return best;
 }
 
-void Headroom::hold(Index index, const Resources &charge, double wantedEach)
+void Headroom::reserveOn(Index index, const Resources &charge, double tasksPerTarget)
 {
     const TargetRecord &target = this->ledger.fleet[index];
-    const double tasks = this->tasksOn(target, charge, wantedEach);
+    const double tasks = this->tasksToHold(target, charge, tasksPerTarget);
     Resources wanted;
     for (std::size_t kind = 0; kind < resourceKindCount; ++kind)
         wanted.amounts[kind] = charge.amounts[kind] * static_cast<std::int64_t>(tasks);
-    Held &entry = this->held[index];
+    TargetHeadroom &entry = this->headroomByTarget[index];
     if (entry.tasks == 0.0) {
         entry.domain = target.info.failureDomain % this->domains.size();
         ++this->domains[entry.domain];
     }
     this->capacity += tasks - entry.tasks;
     entry.tasks = tasks;
-    if (target.hold == wanted)
+    if (target.headroom == wanted)
         return;
-    const bool less = wanted.fitsInto(target.hold);
+    const bool less = wanted.fitsInto(target.headroom);
     this->ledger.fleet.setHeadroom(index, wanted);
     if (less)
         this->ledger.markFreed(index);
 }
 
-void Headroom::letGo(Index index)
+void Headroom::releaseTarget(Index index)
 {
-    Held &entry = this->held[index];
+    TargetHeadroom &entry = this->headroomByTarget[index];
     this->capacity -= entry.tasks;
     --this->domains[entry.domain];
-    entry = Held();
+    entry = TargetHeadroom();
     this->ledger.fleet.setHeadroom(index, Resources());
     this->ledger.markFreed(index);
 }
--- a/src/decisions/headroom.h
+++ b/src/decisions/headroom.h
@@ -11,12 +11,13 @@
 
 namespace guavavalve::internal {
 
-/// Keeps room on some targets for prompt work, as much as its arrivals call for. With an offered
-/// load of `a` tasks (arrivals a second by mean run time, Little's law) `a + 2.5 sqrt(a) + 1` of
-/// them fit: square-root staffing (Halfin and Whitt, 1981). Kept on part of the targets, not as
-/// crumbs on each, which would take room from large tasks everywhere; and only an eighth of each
-/// of these unless that is not enough, so that other work can use what prompt work leaves (prompt
-/// tasks take many slots and few processors).
+/// Reserves capacity for prompt work on some targets, in proportion to its arrival rate. For an
+/// offered load of `a` tasks (arrivals per second times mean run time, Little's law), capacity for
+/// `a + 2.5 sqrt(a) + 1` tasks is reserved: square-root staffing (Halfin and Whitt, 1981). It is
+/// concentrated on part of the targets, because a little on each would leave no target whole for
+/// large tasks. On each of these targets only one eighth is reserved, unless that is not enough,
+/// so that other work can use the capacity that prompt work does not need (prompt tasks take many
+/// slots and few processors).
 class Headroom
 {
 public:
@@ -25,7 +26,7 @@
     void promptArrived(const Resources &charge, Instant now);
     void promptEnded(Microseconds runTime);
 
-    /// Takes targets in or lets them go, a few at a time.
+    /// Adds targets to the pool or removes them, a few at a time.
     void update(Instant now);
 
     std::uint32_t targets() const
@@ -34,8 +35,8 @@
     }
 
 private:
-    /// What is kept on one target.
-    struct Held
+    /// The headroom of one target.
+    struct TargetHeadroom
     {
         double tasks = 0.0;
         std::size_t domain = 0;
@@ -44,20 +45,21 @@
     Resources meanCharge() const;
     double wantedTasks(Instant now) const;
     double capacityOf(const TargetRecord &target, const Resources &charge) const;
-    Index pick(const Resources &charge);
-    double tasksOn(const TargetRecord &target, const Resources &charge, double wantedEach) const;
-    void renew(const Resources &charge, double wantedEach);
-    void hold(Index target, const Resources &charge, double wantedEach);
-    void letGo(Index target);
+    Index pickTarget(const Resources &charge);
+    double tasksToHold(const TargetRecord &target, const Resources &charge,
+                       double tasksPerTarget) const;
+    void refreshPool(const Resources &charge, double tasksPerTarget);
+    void reserveOn(Index target, const Resources &charge, double tasksPerTarget);
+    void releaseTarget(Index target);
 
     Ledger &ledger;
     DecayingRate arrivals;
     std::array<MovingMean, resourceKindCount> charges;
     MovingMean runSeconds;
-    std::array<std::uint32_t, 64> domains{}; ///< targets of the pool in each failure domain
-    std::vector<Held> held; ///< by target
-    double capacity = 0.0; ///< tasks that all that is kept would hold
-    std::size_t renewCursor = 0;
+    std::array<std::uint32_t, 64> domains{}; ///< pool targets in each failure domain
+    std::vector<TargetHeadroom> headroomByTarget;
+    double capacity = 0.0; ///< prompt tasks that fit into the whole pool
+    std::size_t refreshCursor = 0;
     Index cursor = 0;
 };
 
--- a/src/decisions/indexes.h
+++ b/src/decisions/indexes.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve::internal {
 
-/// Place of a record in one of the scheduler's tables.
+/// Index of a record in one of the scheduler's tables.
 using Index = std::uint32_t;
 
 inline constexpr Index noIndex = 0xffffffffU;
--- a/src/decisions/jobfailures.cpp
+++ b/src/decisions/jobfailures.cpp
@@ -10,24 +10,25 @@
 
 } // namespace
 
-void JobFailures::failed(JobId job, Index target)
+void JobFailures::recordFailure(JobId job, Index target)
 {
     const auto [item, isNew] = this->entries.try_emplace(job);
     if (isNew) {
-        this->ages.push_back(job);
-        if (this->ages.size() > maxJobs) {
-            this->entries.erase(this->ages.front());
-            this->ages.pop_front();
+        this->insertionOrder.push_back(job);
+        if (this->insertionOrder.size() > maxJobs) {
+            this->entries.erase(this->insertionOrder.front());
+            this->insertionOrder.pop_front();
         }
     }
     Entry &entry = item->second;
     ++entry.failures;
-    const auto end = entry.targets.begin() + entry.distinct;
-    if (entry.distinct < targetsToBlame && std::find(entry.targets.begin(), end, target) == end)
-        entry.targets[entry.distinct++] = target;
+    const auto end = entry.targets.begin() + entry.distinctTargets;
+    if (entry.distinctTargets < minDistinctTargets
+        && std::find(entry.targets.begin(), end, target) == end)
+        entry.targets[entry.distinctTargets++] = target;
 }
 
-void JobFailures::succeeded(JobId job)
+void JobFailures::recordSuccess(JobId job)
 {
     const auto item = this->entries.find(job);
     if (item != this->entries.end())
@@ -37,7 +38,7 @@
 bool JobFailures::failsEverywhere(JobId job) const
 {
     const auto item = this->entries.find(job);
-    return item != this->entries.end() && item->second.distinct >= targetsToBlame
+    return item != this->entries.end() && item->second.distinctTargets >= minDistinctTargets
         && item->second.successes < item->second.failures;
 }
 
--- a/src/decisions/jobfailures.h
+++ b/src/decisions/jobfailures.h
@@ -10,30 +10,30 @@
 
 namespace guavavalve::internal {
 
-/// Jobs that have failed lately, to tell a job that fails everywhere from a target that fails
-/// everything. Bounded: the oldest are forgotten.
+/// Recent failures by job, to distinguish a job that fails on every target from a target that
+/// fails every job. The number of jobs is bounded; the oldest entries are evicted.
 class JobFailures
 {
 public:
-    void failed(JobId job, Index target);
-    void succeeded(JobId job);
+    void recordFailure(JobId job, Index target);
+    void recordSuccess(JobId job);
 
-    /// True if the job has failed on several targets and succeeded less often than it failed.
+    /// True if the job has failed on several targets and has failed more often than it succeeded.
     bool failsEverywhere(JobId job) const;
 
 private:
-    static constexpr std::size_t targetsToBlame = 3;
+    static constexpr std::size_t minDistinctTargets = 3;
 
     struct Entry
     {
-        std::array<Index, targetsToBlame> targets{};
-        std::uint32_t distinct = 0;
+        std::array<Index, minDistinctTargets> targets{};
+        std::uint32_t distinctTargets = 0;
         std::uint32_t failures = 0;
         std::uint32_t successes = 0;
     };
 
     std::unordered_map<JobId, Entry> entries;
-    std::deque<JobId> ages;
+    std::deque<JobId> insertionOrder;
 };
 
 } // namespace guavavalve::internal
--- a/src/decisions/ledger.cpp
+++ b/src/decisions/ledger.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A team of weight zero still gets what nobody else wants.
+/// Lets a team of weight zero still get capacity that no other team wants.
 constexpr double minWeight = 1e-6;
 
 bool isSpread(const WorkQueue &queue)
@@ -99,7 +99,7 @@
     task.submittedAt = now;
     task.declaredRunTime = request.declaredRunTime;
     task.repeatable = request.repeatable;
-    task.queue = this->queues.join(key);
+    task.queue = this->queues.acquireReference(key);
     this->taskById.emplace(request.id, index);
     if (request.workClass == WorkClass::Gang) {
         GangRecord &gang = this->gangs[request.job];
@@ -114,11 +114,12 @@
 void Ledger::remove(Index index)
 {
     const TaskRecord &task = this->tasks[index];
-    assert(task.target == noIndex && !task.linked && "release or dequeue a task before it goes");
+    assert(task.target == noIndex && !task.linked
+           && "a task must be released and dequeued before it is removed");
     if (this->queues[task.queue].key.workClass == WorkClass::Gang)
         this->leaveGang(index);
     this->taskById.erase(task.id);
-    this->queues.leave(task.queue);
+    this->queues.dropReference(task.queue);
     this->tasks.remove(index);
 }
 
@@ -133,8 +134,8 @@
     gang.members.pop_back();
     if (gang.members.empty())
         this->gangs.erase(entry);
-    else if (gang.leader == noIndex && gang.complete())
-        this->linkGang(gang, true); // the others had been waiting for this one
+    else if (gang.queuedMember == noIndex && gang.complete())
+        this->linkGang(gang, true); // the remaining members were waiting for this one
 }
 
 void Ledger::link(Index index, bool front)
@@ -155,16 +156,16 @@
 
 void Ledger::linkGang(GangRecord &gang, bool front)
 {
-    gang.leader = gang.members.front();
-    this->link(gang.leader, front);
+    gang.queuedMember = gang.members.front();
+    this->link(gang.queuedMember, front);
 }
 
 void Ledger::unlinkGang(GangRecord &gang)
 {
-    if (gang.leader == noIndex)
+    if (gang.queuedMember == noIndex)
         return;
-    this->unlink(gang.leader);
-    gang.leader = noIndex;
+    this->unlink(gang.queuedMember);
+    gang.queuedMember = noIndex;
 }
 
 void Ledger::enqueue(Index index, bool front, Instant now)
@@ -199,9 +200,9 @@
         return this->unlink(index);
     GangRecord &gang = this->gangs.at(task.job);
     --gang.waiting;
-    if (gang.leader != index)
+    if (gang.queuedMember != index)
         return;
-    // The gang keeps its turn when the member that stands for it goes.
+    // The gang keeps its position in the queue when the member that represents it is dequeued.
     const auto other =
         std::find_if(gang.members.begin(), gang.members.end(), [this, index](Index member) {
             return member != index && this->tasks[member].target == noIndex;
@@ -209,7 +210,7 @@
     if (other == gang.members.end())
         return this->unlinkGang(gang);
     this->queues.substitute(index, *other);
-    gang.leader = *other;
+    gang.queuedMember = *other;
 }
 
 void Ledger::place(Index index, Index targetIndex, const Resources &charge, Instant now)
@@ -271,7 +272,7 @@
     task.usedMilliCores = 0;
     task.usedMemoryMb = 0;
     task.throttled = false;
-    task.ending = false;
+    task.preempting = false;
     task.probe = false;
 }
 
@@ -290,7 +291,7 @@
     target.info.rack = rack;
 }
 
-std::vector<Index> *Ledger::listOf(const WorkQueue &queue)
+std::vector<Index> *Ledger::listOfState(const WorkQueue &queue)
 {
     TeamRecord &team = this->teams[queue.key.team];
     switch (queue.state) {
@@ -309,7 +310,7 @@
 void Ledger::leaveState(Index index)
 {
     WorkQueue &queue = this->queues[index];
-    std::vector<Index> *list = this->listOf(queue);
+    std::vector<Index> *list = this->listOfState(queue);
     if (list == nullptr)
         return;
     const Index last = list->back();
@@ -321,7 +322,7 @@
         this->blockedCharges.pop_back();
     }
     if (queue.state == QueueState::Ready && list->empty())
-        this->disorder(queue.key.team, roundOf(queue.key.workClass));
+        this->removeFromOrder(queue.key.team, roundOf(queue.key.workClass));
     queue.state = QueueState::Idle;
 }
 
@@ -330,7 +331,7 @@
     this->leaveState(index);
     WorkQueue &queue = this->queues[index];
     queue.state = state;
-    std::vector<Index> *list = this->listOf(queue);
+    std::vector<Index> *list = this->listOfState(queue);
     if (list == nullptr)
         return;
     queue.statePosition = static_cast<Index>(list->size());
@@ -338,7 +339,7 @@
     if (state == QueueState::NoRoom)
         this->blockedCharges.push_back(queue.charge);
     if (state == QueueState::Ready)
-        this->order(queue.key.team, roundOf(queue.key.workClass));
+        this->addToOrder(queue.key.team, roundOf(queue.key.workClass));
 }
 
 void Ledger::makeReady(Index index, bool hintsOnly)
@@ -369,7 +370,7 @@
         this->makeReady(team.atLimit.back(), false);
 }
 
-void Ledger::order(Index teamIndex, Round round)
+void Ledger::addToOrder(Index teamIndex, Round round)
 {
     TeamRecord &team = this->teams[teamIndex];
     bool &ordered = team.ordered[static_cast<std::size_t>(round)];
@@ -379,7 +380,7 @@
     this->orders[static_cast<std::size_t>(round)].emplace(team.rank, teamIndex);
 }
 
-void Ledger::disorder(Index teamIndex, Round round)
+void Ledger::removeFromOrder(Index teamIndex, Round round)
 {
     TeamRecord &team = this->teams[teamIndex];
     bool &ordered = team.ordered[static_cast<std::size_t>(round)];
--- a/src/decisions/ledger.h
+++ b/src/decisions/ledger.h
@@ -21,8 +21,8 @@
 
 namespace guavavalve::internal {
 
-/// The scheduler's books: tasks, queues, teams, gangs and targets, kept consistent with each
-/// other. It decides nothing.
+/// The scheduler's state: tasks, queues, teams, gangs and targets, kept consistent with each
+/// other. Makes no scheduling decisions.
 class Ledger
 {
 public:
@@ -32,34 +32,34 @@
 
     void applyPolicy(const Policy &policy);
 
-    /// The index of a team, made if it is unknown.
+    /// The index of a team; creates it if it is unknown.
     Index teamIndex(TeamId team);
     Index findTeam(TeamId team) const;
     Index findTask(TaskId task) const;
     GangRecord *gangOf(const TaskRecord &task);
 
-    /// True if \a request is unlike the tasks that its gang already has: a gang is planned by one
-    /// shape, so that an unlike task would be placed where it has no room.
+    /// True if \a request differs from the tasks that its gang already has. A gang is planned with
+    /// a single task shape, so a different task would be placed on a target without room for it.
     bool mismatchesGang(const TaskRequest &request) const;
 
-    /// Takes a task into the books; it neither waits nor is placed yet.
+    /// Adds a task, which is neither waiting nor placed yet.
     Index add(const TaskRequest &request, Instant now);
 
-    /// Takes a task that neither waits nor is placed out of the books.
+    /// Removes a task that is neither waiting nor placed.
     void remove(Index task);
 
-    /// The task waits from now on, at the front of its queue if \a front. A gang stands in its
-    /// queue once it is complete.
+    /// Marks the task as waiting, at the front of its queue if \a front. A gang enters its queue
+    /// once it is complete.
     void enqueue(Index task, bool front, Instant now);
     void dequeue(Index task);
 
-    /// Sets \a charge aside on the target and counts it for the team. The task must not wait.
+    /// Allocates \a charge on the target and accounts it to the team. The task must not be waiting.
     void place(Index task, Index target, const Resources &charge, Instant now);
 
-    /// Gives back what place() took; the task neither waits nor is placed.
+    /// Reverts place(); the task is then neither waiting nor placed.
     void release(Index task);
 
-    /// The target may have room that waiting work has not seen yet.
+    /// Records that the target may have room that waiting work has not been tried on yet.
     void markFreed(Index target)
     {
         if (!this->fleet[target].freed) {
@@ -68,25 +68,26 @@
         }
     }
 
-    /// Takes a gang out of its queue before its tasks are dequeued one by one.
+    /// Removes a gang from its queue, before its tasks are dequeued one by one.
     void unlinkGang(GangRecord &gang);
 
-    /// A target is in another place than it was; what stands on it moves along.
+    /// Changes a target's failure domain and rack, and updates the spread of the services on it.
     void moveTarget(Index target, std::uint16_t domain, std::uint16_t rack);
 
-    /// The queue may be looked at.
+    /// Makes the queue eligible for placement, if it has tasks. With \a hintsOnly, only targets
+    /// that recently freed room are considered.
     void makeReady(Index queue, bool hintsOnly);
 
-    /// The queue waits for room, or for its team's limit.
+    /// Blocks the queue until room is freed or its team's limit allows more.
     void block(Index queue, QueueState state, Reason reason, Instant now);
 
-    /// Queues in QueueState::AtLimit of \a team may be looked at again.
+    /// Makes the queues of \a team in QueueState::AtLimit ready again.
     void limitChanged(Index team);
 
-    /// Puts every team's rank right after the fleet or the weights have changed.
+    /// Recomputes the rank of every team after the fleet or the weights have changed.
     void updateRanks();
 
-    /// The team furthest below its share that has a queue to look at, or noIndex.
+    /// The team furthest below its share that has a ready queue, or noIndex.
     Index nextTeam(Round round) const;
 
     bool withinLimit(const TeamRecord &team, const Resources &charge) const
@@ -95,7 +96,7 @@
             && (team.placed + charge).fitsInto(team.policy.limit);
     }
 
-    /// A team's rank if \a extra were placed besides (or taken away, if negative).
+    /// The rank that a team would have with \a extra placed in addition (or removed, if negative).
     double rankWith(const TeamRecord &team, const Resources &extra) const;
 
     Resources &classPlaced(WorkClass workClass)
@@ -114,8 +115,8 @@
     QueueTable queues;
     Slab<TeamRecord> teams;
     std::vector<Index> blocked; ///< queues in QueueState::NoRoom
-    std::vector<Resources> blockedCharges; ///< theirs, side by side for a quick look over all
-    std::vector<Index> freedTargets; ///< targets that gained room since they were last taken
+    std::vector<Resources> blockedCharges; ///< charges of `blocked`, contiguous for fast scanning
+    std::vector<Index> freedTargets; ///< targets that gained room since the list was last consumed
     std::array<ClassStatistics, workClassCount> classes;
     std::array<Resources, workClassCount> placedByClass;
     Resources placed; ///< on all targets
@@ -123,9 +124,9 @@
 private:
     void setState(Index queue, QueueState state);
     void leaveState(Index queue);
-    std::vector<Index> *listOf(const WorkQueue &queue);
-    void order(Index team, Round round);
-    void disorder(Index team, Round round);
+    std::vector<Index> *listOfState(const WorkQueue &queue);
+    void addToOrder(Index team, Round round);
+    void removeFromOrder(Index team, Round round);
     void updateRank(Index team);
     void linkGang(GangRecord &gang, bool front);
     void leaveGang(Index task);
@@ -137,9 +138,9 @@
     std::unordered_map<TaskId, Index> taskById;
     std::unordered_map<TeamId, Index> teamById;
     std::unordered_map<JobId, GangRecord> gangs;
-    std::unordered_map<JobId, Spread> spreads; ///< of services with several tasks
+    std::unordered_map<JobId, Spread> spreads; ///< by service job, while tasks of it are placed
     std::array<Order, roundCount> orders;
-    Resources rankedAgainst; ///< the fleet's total when ranks were last put right
+    Resources rankedAgainst; ///< the fleet's total when ranks were last computed
 };
 
 } // namespace guavavalve::internal
--- a/src/decisions/movingmean.h
+++ b/src/decisions/movingmean.h
@@ -5,9 +5,9 @@
 
 namespace guavavalve::internal {
 
-/// Mean and mean deviation that follow their samples (as TCP estimates round trips: Jacobson,
-/// 1988). The first samples weigh as in a plain mean; the first
-/// deviation is half of its sample.
+/// Moving mean and mean deviation, estimated as TCP does for round-trip times (Jacobson, 1988).
+/// The first samples are averaged with equal weight; the deviation starts at half of the first
+/// sample.
 class MovingMean
 {
 public:
--- a/src/decisions/placer.cpp
+++ b/src/decisions/placer.cpp
@@ -7,40 +7,40 @@
 
 namespace {
 
-/// Placements of one run: bounds the time of a decision after a burst of submissions.
+/// Placements per run: bounds the time of a decision after a burst of submissions.
 constexpr std::size_t maxPlacements = 1024;
-/// Targets that gained room which one run looks at; the others follow in the next.
+/// Targets that gained room and are examined in one run; the others follow in the next run.
 constexpr std::size_t maxHints = 64;
-/// Targets with room kept for prompt work that one prompt task looks at.
-constexpr std::size_t maxHoldersSeen = 64;
-/// A search looks at part of a large fleet only, so a blocked queue searches again in time even
-/// when no target is known to have gained room.
+/// Targets with headroom that are examined for one prompt task.
+constexpr std::size_t maxHeadroomTargetsScanned = 64;
+/// A search covers only part of a large fleet, so a blocked queue is retried after this time even
+/// if no target is known to have gained room.
 constexpr Microseconds retryAfter = std::chrono::seconds(1);
-constexpr std::size_t retriesInRun = 4;
-/// Blocked queues woken in one run.
-constexpr std::size_t wokenAtLeast = 16;
-constexpr std::size_t wokenPerHint = 8;
-/// A gang that did not fit is tried again after this long at the soonest: a try costs a search
-/// for each of its tasks.
+constexpr std::size_t maxRetriesPerRun = 4;
+/// Blocked queues woken in one run, plus the number below for each hint.
+constexpr std::size_t minQueuesWoken = 16;
+constexpr std::size_t queuesWokenPerHint = 8;
+/// Minimum time before a gang that did not fit is retried: a try costs a search for each task.
 constexpr Microseconds gangRetryAfter = std::chrono::milliseconds(100);
 
 } // namespace
 
-Placer::Placer(Ledger &books, Reservations &keptRoom, Quarantine &held, DecisionLog &decisionLog)
-    : ledger(books)
-    , reservations(keptRoom)
-    , quarantine(held)
+Placer::Placer(Ledger &sharedLedger, Reservations &sharedReservations, Quarantine &sharedQuarantine,
+               DecisionLog &decisionLog)
+    : ledger(sharedLedger)
+    , reservations(sharedReservations)
+    , quarantine(sharedQuarantine)
     , log(decisionLog)
 {}
 
 bool Placer::run(Instant now, std::vector<Decision> &out)
 {
     this->placedInRun = 0;
-    this->probe(now, out);
+    this->placeProbes(now, out);
     this->wakeQueues(now);
     this->runRound(Round::Prompt, now, out);
     this->runRound(Round::Other, now, out);
-    this->renewHints();
+    this->requeueHints();
     return this->placedInRun >= maxPlacements || !this->ledger.freedTargets.empty();
 }
 
@@ -96,7 +96,7 @@
 void Placer::wakeQueues(Instant now)
 {
     this->takeHints();
-    this->unwoken.clear();
+    this->skippedQueues.clear();
     std::vector<std::pair<double, Index>> fitting;
     for (std::size_t i = 0; i < this->ledger.blocked.size(); ++i) {
         if (!this->ledger.blockedCharges[i].fitsInto(this->hintRoom))
@@ -107,9 +107,9 @@
             && this->hintsFit(queue, now))
             fitting.emplace_back(this->ledger.teams[queue.key.team].rank, index);
     }
-    // The freed room is soon taken again: only those whose turn it is are woken, prompt work and
-    // the teams furthest below their share.
-    const std::size_t most = wokenAtLeast + wokenPerHint * this->hints.size();
+    // The freed room is soon taken again, so only prompt work and the queues of the teams furthest
+    // below their share are woken.
+    const std::size_t most = minQueuesWoken + queuesWokenPerHint * this->hints.size();
     if (fitting.size() > most) {
         std::nth_element(fitting.begin(), fitting.begin() + static_cast<std::ptrdiff_t>(most),
                          fitting.end());
@@ -119,29 +119,31 @@
         if (i < most || this->ledger.queues[index].key.workClass == WorkClass::Prompt)
             this->ledger.makeReady(index, true);
         else
-            this->unwoken.push_back(index);
+            this->skippedQueues.push_back(index);
     }
-    this->retryOldest(now);
+    this->retryBlocked(now);
 }
 
-void Placer::renewHints()
+void Placer::requeueHints()
 {
-    if (this->unwoken.empty())
+    if (this->skippedQueues.empty())
         return;
     this->measureHintRoom();
-    const bool left = std::any_of(this->unwoken.begin(), this->unwoken.end(), [this](Index index) {
-        return this->ledger.queues[index].charge.fitsInto(this->hintRoom);
-    });
+    const bool left =
+        std::any_of(this->skippedQueues.begin(), this->skippedQueues.end(), [this](Index index) {
+            return this->ledger.queues[index].charge.fitsInto(this->hintRoom);
+        });
     if (!left)
         return;
     for (const Hint &hint : this->hints)
         this->ledger.markFreed(hint.target);
 }
 
-void Placer::retryOldest(Instant now)
+void Placer::retryBlocked(Instant now)
 {
-    // A few at a time, going round: each costs a search over the index, a gang one for each task.
-    for (std::size_t i = 0; i < retriesInRun && !this->ledger.blocked.empty(); ++i) {
+    // Round-robin, a few at a time: each retry costs a search of the index, for a gang one per
+    // task.
+    for (std::size_t i = 0; i < maxRetriesPerRun && !this->ledger.blocked.empty(); ++i) {
         this->retryCursor = (this->retryCursor + 1) % this->ledger.blocked.size();
         const Index index = this->ledger.blocked[this->retryCursor];
         const WorkQueue &queue = this->ledger.queues[index];
@@ -160,14 +162,14 @@
         && this->ledger.withinLimit(this->ledger.teams[queue.key.team], queue.charge);
 }
 
-Index Placer::probeTask(const TargetRecord &target) const
+Index Placer::findProbeTask(const TargetRecord &target) const
 {
     for (const Index queue : this->ledger.blocked) {
         if (this->suitsProbe(queue, target))
             return this->ledger.queues[queue].head;
     }
     for (Index team = 0; team < this->ledger.teams.limit(); ++team) {
-        // Batch work before prompt work, which a bad target would delay.
+        // Prefers other work to prompt work, which a bad target would delay.
         for (const Round round : {Round::Other, Round::Prompt}) {
             for (const Index queue :
                  this->ledger.teams[team].ready[static_cast<std::size_t>(round)]) {
@@ -179,10 +181,10 @@
     return noIndex;
 }
 
-void Placer::probe(Instant now, std::vector<Decision> &out)
+void Placer::placeProbes(Instant now, std::vector<Decision> &out)
 {
     for (const Index index : this->quarantine.dueForProbe(now)) {
-        const Index task = this->probeTask(this->ledger.fleet[index]);
+        const Index task = this->findProbeTask(this->ledger.fleet[index]);
         if (task == noIndex)
             continue;
         this->ledger.dequeue(task);
@@ -272,17 +274,17 @@
 {
     const std::vector<Index> &headroomTargets = this->ledger.fleet.headroomTargets();
     TargetFound found;
-    for (std::size_t i = 0; i < std::min(headroomTargets.size(), maxHoldersSeen); ++i) {
-        // Stays where it last found room; moves on where there is none.
-        this->holderCursor %= headroomTargets.size();
-        const TargetRecord &target = this->ledger.fleet[headroomTargets[this->holderCursor]];
+    for (std::size_t i = 0; i < std::min(headroomTargets.size(), maxHeadroomTargetsScanned); ++i) {
+        // The cursor stays on a target that has room and advances past those that have none.
+        this->headroomCursor %= headroomTargets.size();
+        const TargetRecord &target = this->ledger.fleet[headroomTargets[this->headroomCursor]];
         ++found.considered;
         if (target.availability() == Availability::Normal && queue.charge.fitsInto(target.free())
-            && (target.promptPlaced + queue.charge).fitsInto(target.hold)) {
-            found.target = headroomTargets[this->holderCursor];
+            && (target.promptPlaced + queue.charge).fitsInto(target.headroom)) {
+            found.target = headroomTargets[this->headroomCursor];
             return found;
         }
-        ++this->holderCursor;
+        ++this->headroomCursor;
     }
     return found;
 }
@@ -325,9 +327,9 @@
     const TargetFound found = this->findTarget(queue, this->ledger.tasks[task], now);
     queue.considered = found.considered;
     if (found.target == noIndex) {
-        const bool kept = queue.reservation != noIndex;
-        this->ledger.block(index, QueueState::NoRoom, kept ? Reason::GangReserved : Reason::NoRoom,
-                           now);
+        const bool reserved = queue.reservation != noIndex;
+        this->ledger.block(index, QueueState::NoRoom,
+                           reserved ? Reason::GangReserved : Reason::NoRoom, now);
         return false;
     }
     Reason reason = Reason::BestFit;
@@ -389,16 +391,16 @@
         this->ledger.block(index, QueueState::AtLimit, Reason::TeamLimit, now);
         return false;
     }
-    // The sum of what is free is a cheap way to see that a large gang cannot fit yet.
-    const bool hopeless =
+    // Comparing with the total free capacity is a cheap way to see that a large gang cannot fit.
+    const bool cannotFit =
         queue.reservation == noIndex && !all.fitsInto(this->ledger.fleet.normalFree());
-    const bool planned = !hopeless && this->planGang(queue, gang);
-    if (!hopeless)
+    const bool planned = !cannotFit && this->planGang(queue, gang);
+    if (!cannotFit)
         this->undoPlan(queue.charge);
     if (!planned) {
-        const bool kept = queue.reservation != noIndex;
-        this->ledger.block(index, QueueState::NoRoom, kept ? Reason::GangReserved : Reason::NoRoom,
-                           now);
+        const bool reserved = queue.reservation != noIndex;
+        this->ledger.block(index, QueueState::NoRoom,
+                           reserved ? Reason::GangReserved : Reason::NoRoom, now);
         return false;
     }
     const std::vector<Index> members = gang.members;
--- a/src/decisions/placer.h
+++ b/src/decisions/placer.h
@@ -11,18 +11,19 @@
 
 namespace guavavalve::internal {
 
-/// Places waiting tasks: prompt work first, then team by team, the one furthest below its share
-/// first, and within a team the queue whose patience ends first.
+/// Places waiting tasks in this order: prompt work before other work, then the team furthest below
+/// its share, and within a team the queue whose preemption delay expires first.
 class Placer
 {
 public:
     Placer(Ledger &ledger, Reservations &reservations, Quarantine &quarantine, DecisionLog &log);
 
-    /// Places what can be placed, up to a bound; true if more could follow at once.
+    /// Places as many tasks as possible, up to a limit. Returns true if another run could place
+    /// more immediately.
     bool run(Instant now, std::vector<Decision> &out);
 
 private:
-    /// A target that gained room, and what it had at the start of the run.
+    /// A target that gained room, with its free capacity at the start of the run.
     struct Hint
     {
         Index target = noIndex;
@@ -33,12 +34,12 @@
     void takeHints();
     void measureHintRoom();
     void wakeQueues(Instant now);
-    void renewHints();
-    void retryOldest(Instant now);
+    void requeueHints();
+    void retryBlocked(Instant now);
     bool mayUse(const WorkQueue &queue, const TargetRecord &target, Instant now) const;
     bool hintsFit(const WorkQueue &queue, Instant now) const;
-    void probe(Instant now, std::vector<Decision> &out);
-    Index probeTask(const TargetRecord &target) const;
+    void placeProbes(Instant now, std::vector<Decision> &out);
+    Index findProbeTask(const TargetRecord &target) const;
     bool suitsProbe(Index queue, const TargetRecord &target) const;
     void runRound(Round round, Instant now, std::vector<Decision> &out);
     Index nextQueue(const TeamRecord &team, Round round) const;
@@ -58,11 +59,11 @@
     Reservations &reservations;
     Quarantine &quarantine;
     DecisionLog &log;
-    std::vector<Hint> hints; ///< targets that have gained room since the last run
-    std::vector<Index> unwoken; ///< blocked queues that fit a hint and were not looked at
-    Resources hintRoom; ///< the most that any of them has free, by kind
-    std::vector<Index> plan; ///< targets of a gang's tasks, taken in the fleet but not the books
-    std::size_t holderCursor = 0;
+    std::vector<Hint> hints; ///< targets that gained room since the last run
+    std::vector<Index> skippedQueues; ///< blocked queues that fit a hint but were not woken
+    Resources hintRoom; ///< largest free amount on any hint, by kind
+    std::vector<Index> plan; ///< targets of a gang's tasks; allocated in the fleet only
+    std::size_t headroomCursor = 0;
     std::size_t retryCursor = 0;
     std::size_t placedInRun = 0;
 };
--- a/src/decisions/preemptor.cpp
+++ b/src/decisions/preemptor.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-/// Targets weighed to make room for one task: bounds the time of a decision on a large fleet.
-constexpr Index maxTargetsSeen = 32;
-/// Queues that one update makes room for.
+/// Targets scanned to make room for one task: bounds the time of a decision on a large fleet.
+constexpr Index maxTargetsScanned = 32;
+/// Queues for which one update makes room.
 constexpr int maxQueuesServed = 4;
-/// Heads of one queue that room is made for at once.
+/// Tasks at the head of one queue for which room is made at once.
 constexpr std::uint32_t maxHeads = 8;
-/// A checkpoint that has not ended its task after this long is followed by a stop, and a stop by
-/// another.
-constexpr Microseconds insistAfter = std::chrono::seconds(10);
-/// Prompt work asks again sooner than its room can come free.
-constexpr Microseconds askAgainAfter = std::chrono::seconds(1);
-/// Processors are shared by the moment, so a little too much use of them is borne.
-constexpr std::int64_t coresBornePercent = 105;
+/// A checkpoint or stop that has not ended its task after this time is followed by another stop.
+constexpr Microseconds escalateAfter = std::chrono::seconds(10);
+/// Minimum interval between preemptions for one queue. The preemption delay of prompt work is
+/// shorter than the time in which the requested room can be freed.
+constexpr Microseconds preemptAgainAfter = std::chrono::seconds(1);
+/// Processors are time-shared, so slight overuse is tolerated.
+constexpr std::int64_t maxCoreUsePercent = 105;
 
 } // namespace
 
-Preemptor::Preemptor(Ledger &books, DecisionLog &decisionLog)
-    : ledger(books)
+Preemptor::Preemptor(Ledger &sharedLedger, DecisionLog &decisionLog)
+    : ledger(sharedLedger)
     , log(decisionLog)
 {}
 
@@ -33,68 +33,69 @@
     const TargetRecord &target = this->ledger.fleet[index];
     const bool over = target.usedMemoryMb > target.info.total[ResourceKind::MemoryMb]
         || target.usedMilliCores * 100
-            > target.info.total[ResourceKind::MilliCores] * coresBornePercent;
+            > target.info.total[ResourceKind::MilliCores] * maxCoreUsePercent;
     if (over
-        && std::find(this->overused.begin(), this->overused.end(), index) == this->overused.end())
-        this->overused.push_back(index);
+        && std::find(this->overusedTargets.begin(), this->overusedTargets.end(), index)
+            == this->overusedTargets.end())
+        this->overusedTargets.push_back(index);
 }
 
 void Preemptor::stopRemainingMembers(const GangRecord &gang)
 {
     for (const Index member : gang.members) {
         const TaskRecord &task = this->ledger.tasks[member];
-        if (task.target != noIndex && !task.ending && task.repeatable)
-            this->broken.push_back(task.id);
+        if (task.target != noIndex && !task.preempting && task.repeatable)
+            this->membersToStop.push_back(task.id);
     }
 }
 
 Instant Preemptor::nextEscalation() const
 {
-    return this->asked.empty() ? Instant::max() : this->asked.front().at + insistAfter;
+    return this->pending.empty() ? Instant::max() : this->pending.front().at + escalateAfter;
 }
 
 void Preemptor::update(Instant now, std::vector<Decision> &out)
 {
-    for (const TaskId id : this->broken) {
+    for (const TaskId id : this->membersToStop) {
         const Index task = this->ledger.findTask(id);
         if (task != noIndex && this->ledger.tasks[task].target != noIndex
-            && !this->ledger.tasks[task].ending)
-            this->ask(task, DecisionKind::Stop, Reason::GangBroken, now, out);
+            && !this->ledger.tasks[task].preempting)
+            this->issueRequest(task, DecisionKind::Stop, Reason::GangBroken, now, out);
     }
-    this->broken.clear();
+    this->membersToStop.clear();
     if (this->limitsToCheck)
         this->enforceLimits(now, out);
     this->limitsToCheck = false;
-    for (const Index target : this->overused)
-        this->relieve(target, now, out);
-    this->overused.clear();
-    this->insist(now, out);
+    for (const Index target : this->overusedTargets)
+        this->relieveOveruse(target, now, out);
+    this->overusedTargets.clear();
+    this->escalate(now, out);
     int served = 0;
     const std::size_t count = this->ledger.blocked.size();
     for (std::size_t i = 0; i < count && served < maxQueuesServed; ++i) {
         this->queueCursor = (this->queueCursor + 1) % count;
         const Index queue = this->ledger.blocked[this->queueCursor];
         if (this->waitsTooLong(this->ledger.queues[queue], now)) {
-            this->makeRoomFor(queue, now, out);
+            this->preemptFor(queue, now, out);
             ++served;
         }
     }
 }
 
-bool Preemptor::mayEnd(const TaskRecord &task) const
+bool Preemptor::isPreemptible(const TaskRecord &task) const
 {
     const WorkClass workClass = this->ledger.queues[task.queue].key.workClass;
-    return task.repeatable && !task.ending && this->ledger.policy.of(workClass).preemptible;
+    return task.repeatable && !task.preempting && this->ledger.policy.of(workClass).preemptible;
 }
 
-bool Preemptor::givesWay(const TaskRecord &task, const WorkQueue &queue) const
+bool Preemptor::isPreemptibleFor(const TaskRecord &task, const WorkQueue &queue) const
 {
-    if (!this->mayEnd(task))
+    if (!this->isPreemptible(task))
         return false;
     if (queue.key.workClass == WorkClass::Prompt)
         return true;
-    // Taken back only so far that the two teams do not change places: or they would take from
-    // each other for ever.
+    // Share is reclaimed only as long as the two teams do not change places in rank. Otherwise they
+    // would preempt each other indefinitely.
     const WorkQueue &other = this->ledger.queues[task.queue];
     const TeamRecord &from = this->ledger.teams[other.key.team];
     const TeamRecord &to = this->ledger.teams[queue.key.team];
@@ -105,7 +106,7 @@
 
 double Preemptor::costOf(const TaskRecord &task, Instant now) const
 {
-    // The work that is lost: resources times the time they were used. A gang loses all of it.
+    // The cost is the lost work: resources times run time. A gang loses that of all its tasks.
     const QueueKey &key = this->ledger.queues[task.queue].key;
     const double seconds = 1.0 + std::chrono::duration<double>(now - task.placedAt).count();
     return seconds * task.charge.dominantShare(this->ledger.fleet.largest())
@@ -119,13 +120,13 @@
     std::vector<Victim> victims;
     for (const Index taskIndex : target.tasks) {
         const TaskRecord &task = this->ledger.tasks[taskIndex];
-        if (task.ending)
+        if (task.preempting)
             wanted -= task.charge;
-        else if (this->givesWay(task, queue))
+        else if (this->isPreemptibleFor(task, queue))
             victims.push_back(Victim{taskIndex, task.charge, this->costOf(task, now)});
     }
     if (wanted.fitsInto(Resources())) {
-        VictimSet nothing; // what has been asked for already suffices
+        VictimSet nothing; // the pending requests free enough
         nothing.sufficient = true;
         return nothing;
     }
@@ -137,23 +138,23 @@
     const Microseconds preemptionDelay =
         this->ledger.policy.of(queue.key.workClass).preemptionDelay;
     if (preemptionDelay.count() == 0
-        || now - queue.roomAskedAt < std::max(preemptionDelay, askAgainAfter))
+        || now - queue.preemptionRequestedAt < std::max(preemptionDelay, preemptAgainAfter))
         return false;
-    // A class that holds its part of the cell may not end the others' work for more: under a
-    // steady overload of prompt work a gang would be ended each time soon after it has started.
+    // A class that already has its share of the cell may not preempt others to get more. Under a
+    // steady overload of prompt work a gang would otherwise be preempted soon after each start.
     if (queue.reason == Reason::ShareTurn)
         return false;
-    // Prompt work waits too long when its head does, even where others of its queue were placed.
+    // For prompt work the head's own wait counts, even if other tasks of its queue were placed.
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
     const Instant since = prompt ? this->ledger.tasks[queue.head].submittedAt : queue.blockedSince;
     return now - since >= preemptionDelay;
 }
 
-void Preemptor::makeRoomFor(Index queueIndex, Instant now, std::vector<Decision> &out)
+void Preemptor::preemptFor(Index queueIndex, Instant now, std::vector<Decision> &out)
 {
     WorkQueue &queue = this->ledger.queues[queueIndex];
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
-    queue.roomAskedAt = now;
+    queue.preemptionRequestedAt = now;
     const Reason reason = prompt                 ? Reason::RoomForPrompt
         : queue.key.workClass == WorkClass::Gang ? Reason::RoomForGang
                                                  : Reason::ShareReclaimed;
@@ -165,7 +166,7 @@
             return;
         this->claims.push_back(Claim{best.target, queue.charge});
         for (const Index task : best.tasks)
-            this->end(task, reason, now, out);
+            this->requestCheckpoint(task, reason, now, out);
     }
 }
 
@@ -184,7 +185,7 @@
     const bool prompt = queue.key.workClass == WorkClass::Prompt;
     const Index limit = this->ledger.fleet.limit();
     VictimSet best;
-    for (Index i = 0; i < std::min(limit, maxTargetsSeen); ++i) {
+    for (Index i = 0; i < std::min(limit, maxTargetsScanned); ++i) {
         this->cursor = (this->cursor + 1) % limit;
         const TargetRecord &target = this->ledger.fleet[this->cursor];
         const Availability availability = target.availability();
@@ -231,24 +232,24 @@
     std::vector<Victim> victims;
     for (const Index index : candidates) {
         const TaskRecord &task = this->ledger.tasks[index];
-        if (task.ending)
+        if (task.preempting)
             excess -= task.charge;
-        else if (this->mayEnd(task))
+        else if (this->isPreemptible(task))
             victims.push_back(Victim{index, task.charge, this->costOf(task, now)});
     }
     if (excess.fitsInto(Resources()))
         return;
     VictimSet set = cheapestSet(victims, excess);
     if (!set.sufficient) {
-        // Not all of the excess may be ended: what may be, is; the rest runs out.
+        // Not enough tasks may be preempted, so all that may be are; the rest run to completion.
         for (const Victim &victim : victims)
             set.tasks.push_back(victim.task);
     }
     for (const Index task : set.tasks)
-        this->end(task, Reason::LimitLowered, now, out);
+        this->requestCheckpoint(task, Reason::LimitLowered, now, out);
 }
 
-void Preemptor::relieve(Index targetIndex, Instant now, std::vector<Decision> &out)
+void Preemptor::relieveOveruse(Index targetIndex, Instant now, std::vector<Decision> &out)
 {
     const TargetRecord &target = this->ledger.fleet[targetIndex];
     const bool memory = target.usedMemoryMb > target.info.total[ResourceKind::MemoryMb];
@@ -256,9 +257,9 @@
     std::int64_t worstExcess = std::numeric_limits<std::int64_t>::min();
     for (const Index index : target.tasks) {
         const TaskRecord &task = this->ledger.tasks[index];
-        if (task.ending)
-            return; // wait for what has been asked for
-        if (!this->mayEnd(task))
+        if (task.preempting)
+            return; // wait for the pending request
+        if (!this->isPreemptible(task))
             continue;
         const std::int64_t excess = memory
             ? task.usedMemoryMb - task.charge[ResourceKind::MemoryMb]
@@ -270,27 +271,28 @@
     }
     if (worst == noIndex)
         return;
-    // Processors can be throttled; memory in use can only be given back by ending a task.
+    // Processor use can be throttled; memory is only freed when a task ends.
     if (memory || this->ledger.tasks[worst].throttled)
-        return this->end(worst, Reason::TargetOverused, now, out);
+        return this->requestCheckpoint(worst, Reason::TargetOverused, now, out);
     this->ledger.tasks[worst].throttled = true;
-    this->ask(worst, DecisionKind::Throttle, Reason::TargetOverused, now, out);
+    this->issueRequest(worst, DecisionKind::Throttle, Reason::TargetOverused, now, out);
 }
 
-void Preemptor::end(Index task, Reason reason, Instant now, std::vector<Decision> &out)
+void Preemptor::requestCheckpoint(Index task, Reason reason, Instant now,
+                                  std::vector<Decision> &out)
 {
-    this->ask(task, DecisionKind::Checkpoint, reason, now, out);
+    this->issueRequest(task, DecisionKind::Checkpoint, reason, now, out);
 }
 
-void Preemptor::ask(Index index, DecisionKind kind, Reason reason, Instant now,
-                    std::vector<Decision> &out)
+void Preemptor::issueRequest(Index index, DecisionKind kind, Reason reason, Instant now,
+                             std::vector<Decision> &out)
 {
     TaskRecord &task = this->ledger.tasks[index];
-    if (!task.ending)
+    if (!task.preempting)
         ++this->ledger.counts(this->ledger.queues[task.queue].key.workClass).preempted;
     if (kind != DecisionKind::Throttle) {
-        task.ending = true;
-        this->asked.push_back(Asked{now, task.id, task.placedAt, reason});
+        task.preempting = true;
+        this->pending.push_back(PendingRequest{now, task.id, task.placedAt, reason});
     }
     Decision decision;
     decision.kind = kind;
@@ -301,17 +303,17 @@
     this->log.emit(decision, 0, now, out);
 }
 
-void Preemptor::insist(Instant now, std::vector<Decision> &out)
+void Preemptor::escalate(Instant now, std::vector<Decision> &out)
 {
-    while (!this->asked.empty() && now - this->asked.front().at >= insistAfter) {
-        const Asked asking = this->asked.front();
-        this->asked.pop_front();
-        const Index index = this->ledger.findTask(asking.task);
+    while (!this->pending.empty() && now - this->pending.front().at >= escalateAfter) {
+        const PendingRequest pendingRequest = this->pending.front();
+        this->pending.pop_front();
+        const Index index = this->ledger.findTask(pendingRequest.task);
         if (index == noIndex)
             continue;
         const TaskRecord &task = this->ledger.tasks[index];
-        if (task.target != noIndex && task.ending && task.placedAt == asking.placedAt)
-            this->ask(index, DecisionKind::Stop, asking.reason, now, out);
+        if (task.target != noIndex && task.preempting && task.placedAt == pendingRequest.placedAt)
+            this->issueRequest(index, DecisionKind::Stop, pendingRequest.reason, now, out);
     }
 }
 
--- a/src/decisions/preemptor.h
+++ b/src/decisions/preemptor.h
@@ -11,38 +11,40 @@
 
 namespace guavavalve::internal {
 
-/// Makes room where work waits beyond its class's patience, where a limit was lowered below what
-/// runs, and where measured use is more than a target has: by throttle, checkpoint, then stop,
-/// batch first, the cheapest set that suffices. Only repeatable tasks of preemptible classes.
+/// Preempts running tasks when work has waited longer than its class's preemption delay, when a
+/// limit was lowered below a team's current use, or when the measured use of a target exceeds its
+/// capacity. Tasks are throttled, checkpointed or, last, stopped; the cheapest sufficient set is
+/// chosen. Only repeatable tasks of preemptible classes are preempted.
 class Preemptor
 {
 public:
     Preemptor(Ledger &ledger, DecisionLog &log);
 
-    /// Looks at the blocked queues and at what was asked for before.
+    /// Examines the blocked queues and the pending requests.
     void update(Instant now, std::vector<Decision> &out);
 
-    /// A limit may have been lowered: the next update() looks at every team.
+    /// Makes the next update() check every team, because a limit may have been lowered.
     void limitsChanged() { this->limitsToCheck = true; }
 
-    /// True if update() has something to do at once.
+    /// True if update() has work that is due immediately.
     bool hasWork() const
     {
-        return this->limitsToCheck || !this->overused.empty() || !this->broken.empty();
+        return this->limitsToCheck || !this->overusedTargets.empty()
+            || !this->membersToStop.empty();
     }
 
-    /// When update() has something to insist on, or Instant::max().
+    /// The time when the next pending request is to be escalated, or Instant::max().
     Instant nextEscalation() const;
 
-    /// The measured use of a target has changed.
+    /// Checks a target whose measured use has changed.
     void usageChanged(Index target);
 
-    /// Ends the other tasks of a gang that has to start again.
+    /// Schedules a stop of the remaining placed tasks of a gang that has to be restarted.
     void stopRemainingMembers(const GangRecord &gang);
 
 private:
-    /// An ending that was asked for, to be asked for more firmly if nothing comes of it.
-    struct Asked
+    /// A requested checkpoint or stop, escalated if the task does not end in time.
+    struct PendingRequest
     {
         Instant at{};
         TaskId task = TaskId::None;
@@ -51,16 +53,16 @@
     };
 
     bool waitsTooLong(const WorkQueue &queue, Instant now) const;
-    /// Room on a target that comes free and is meant for one of a queue's heads.
+    /// Room that is being freed on a target for one of a queue's heads.
     struct Claim
     {
         Index target = noIndex;
         Resources room;
     };
 
-    void makeRoomFor(Index queue, Instant now, std::vector<Decision> &out);
-    bool mayEnd(const TaskRecord &task) const;
-    bool givesWay(const TaskRecord &task, const WorkQueue &queue) const;
+    void preemptFor(Index queue, Instant now, std::vector<Decision> &out);
+    bool isPreemptible(const TaskRecord &task) const;
+    bool isPreemptibleFor(const TaskRecord &task, const WorkQueue &queue) const;
     VictimSet victimsOn(Index target, const WorkQueue &queue, Instant now) const;
     VictimSet bestVictims(const WorkQueue &queue, Instant now);
     Resources claimedOn(Index target) const;
@@ -68,18 +70,19 @@
     void enforceLimits(Instant now, std::vector<Decision> &out);
     void enforceLimit(Index team, std::vector<Index> &candidates, Instant now,
                       std::vector<Decision> &out);
-    void relieve(Index target, Instant now, std::vector<Decision> &out);
-    void end(Index task, Reason reason, Instant now, std::vector<Decision> &out);
-    void ask(Index task, DecisionKind kind, Reason reason, Instant now, std::vector<Decision> &out);
-    void insist(Instant now, std::vector<Decision> &out);
+    void relieveOveruse(Index target, Instant now, std::vector<Decision> &out);
+    void requestCheckpoint(Index task, Reason reason, Instant now, std::vector<Decision> &out);
+    void issueRequest(Index task, DecisionKind kind, Reason reason, Instant now,
+                      std::vector<Decision> &out);
+    void escalate(Instant now, std::vector<Decision> &out);
 
     Ledger &ledger;
     DecisionLog &log;
-    std::deque<Asked> asked;
-    std::vector<Index> overused;
-    std::vector<TaskId> broken; ///< of gangs, to be stopped
+    std::deque<PendingRequest> pending;
+    std::vector<Index> overusedTargets;
+    std::vector<TaskId> membersToStop; ///< gang members that the next update() stops
     bool limitsToCheck = false;
-    std::vector<Claim> claims; ///< of the queue that room is made for
+    std::vector<Claim> claims; ///< of the queue for which room is being made
     std::size_t queueCursor = 0;
     Index cursor = 0;
 };
--- a/src/decisions/quarantine.cpp
+++ b/src/decisions/quarantine.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// Chance of a failure on a target that fails everything.
+/// Probability of a failure on a target that is considered to fail everything.
 constexpr double badTargetFailure = 0.95;
-/// Chance that a sound target does not take a start: it has nothing to do with the work.
+/// Probability that a healthy target does not start a task, which is independent of the work.
 constexpr double soundTargetRefusal = 0.01;
-/// Evidence at which a target is held: e^6, or about 400 to 1.
-constexpr double holdAt = 6.0;
+/// Evidence at which a target is quarantined: odds of e^6, or about 400 to 1.
+constexpr double quarantineThreshold = 6.0;
 constexpr double maxEvidence = 20.0;
-/// Good probes in a row that end a quarantine.
+/// Consecutive successful probes that end a quarantine.
 constexpr std::uint8_t probesToRelease = 2;
 
 } // namespace
 
-Quarantine::Quarantine(Ledger &books)
-    : ledger(books)
+Quarantine::Quarantine(Ledger &sharedLedger)
+    : ledger(sharedLedger)
 {}
 
 double Quarantine::evidence(const TaskRecord &task, AttemptOutcome end) const
@@ -31,11 +31,11 @@
     const double chance = profile.failureChance();
     if (end == AttemptOutcome::Succeeded)
         return std::log((1.0 - badTargetFailure) / (1.0 - chance));
-    // A failure speaks against the target only as far as the same work succeeds elsewhere. Else
-    // one team's broken job would take a target out of service wherever it runs.
+    // A failure counts against the target only to the extent that the same work succeeds elsewhere.
+    // Otherwise one team's broken job would take every target out of service that it runs on.
     if (this->jobs.failsEverywhere(task.job))
         return 0.0;
-    return profile.trust() * std::max(0.0, std::log(badTargetFailure / chance));
+    return profile.successConfidence() * std::max(0.0, std::log(badTargetFailure / chance));
 }
 
 void Quarantine::recordOutcome(const TaskRecord &task, AttemptOutcome end, Instant now)
@@ -49,9 +49,9 @@
     TargetRecord &target = this->ledger.fleet[task.target];
     const double sum = static_cast<double>(target.suspicion) + this->evidence(task, end);
     if (end == AttemptOutcome::Failed)
-        this->jobs.failed(task.job, task.target);
+        this->jobs.recordFailure(task.job, task.target);
     else if (!failed)
-        this->jobs.succeeded(task.job);
+        this->jobs.recordSuccess(task.job);
     if (end != AttemptOutcome::NeverStarted) {
         this->ledger.queues[task.queue].profile.addOutcome(failed,
                                                            static_cast<double>(target.suspicion));
@@ -59,16 +59,16 @@
     target.suspicion = static_cast<float>(std::clamp(sum, 0.0, maxEvidence));
     if (task.probe)
         this->probeEnded(task.target, failed, now);
-    else if (!target.quarantined && target.known && target.suspicion >= holdAt)
-        this->hold(task.target, now);
+    else if (!target.quarantined && target.known && target.suspicion >= quarantineThreshold)
+        this->isolate(task.target, now);
 }
 
-void Quarantine::hold(Index index, Instant now)
+void Quarantine::isolate(Index index, Instant now)
 {
-    // Never more than a set part of the fleet: when everything seems to fail, the fault is more
-    // likely in the work or in us, and an empty fleet helps nobody.
+    // At most a configured fraction of the fleet is quarantined. When everything seems to fail, the
+    // cause is more likely the work or the scheduler, and an empty fleet would run no work at all.
     const QuarantinePolicy &policy = this->ledger.policy.quarantine;
-    const double most = policy.maxFleetFraction * this->ledger.fleet.known();
+    const double most = policy.maxFleetFraction * this->ledger.fleet.nonDepartingTargets();
     if (static_cast<double>(this->members.size() + 1) > std::max(most, 1.0))
         return;
     TargetRecord &target = this->ledger.fleet[index];
--- a/src/decisions/quarantine.h
+++ b/src/decisions/quarantine.h
@@ -9,31 +9,33 @@
 
 namespace guavavalve::internal {
 
-/// Tells targets that fail everything from work that fails everywhere, and keeps the former from
-/// getting more than probes. Evidence against a target is summed up as in a CUSUM test (Page,
-/// 1954): the log likelihood of each outcome if the target fails everything, against that of the
-/// same work elsewhere.
+/// Distinguishes targets that fail everything from work that fails everywhere, and restricts the
+/// former to probes. Evidence against a target accumulates as in a CUSUM test (Page, 1954): for
+/// each outcome, the log-likelihood ratio between a target that fails everything and the same work
+/// running elsewhere.
 class Quarantine
 {
 public:
     explicit Quarantine(Ledger &ledger);
 
-    /// A task that is still in the books as placed ended like this.
+    /// Records how a task ended. The task must still be placed in the ledger.
     void recordOutcome(const TaskRecord &task, AttemptOutcome end, Instant now);
 
-    /// The target's process is a new one, or the target is gone: its record is clean.
+    /// Clears the evidence against the target and releases it, because its process was restarted or
+    /// the target is gone.
     void clearRecord(Index target);
 
     /// Targets whose next probe is due.
     std::vector<Index> dueForProbe(Instant now) const;
 
-    /// A probe has been placed on \a target.
+    /// Records that a probe has been placed on \a target.
     void probeStarted(Index target);
 
-    /// The probe's placement was undone, or it ended without telling anything.
+    /// Records that the probe's placement was undone, or that it ended without evidence for or
+    /// against the target.
     void probeInconclusive(Index target, Instant now);
 
-    /// When the next probe is due, or Instant::max().
+    /// The time when the next probe is due, or Instant::max().
     Instant nextProbe() const;
 
     std::uint32_t count() const { return static_cast<std::uint32_t>(this->members.size()); }
@@ -41,7 +43,7 @@
 private:
     double evidence(const TaskRecord &task, AttemptOutcome end) const;
     void probeEnded(Index target, bool failed, Instant now);
-    void hold(Index target, Instant now);
+    void isolate(Index target, Instant now);
     void release(Index target);
 
     Ledger &ledger;
--- a/src/decisions/quarantinepolicy.h
+++ b/src/decisions/quarantinepolicy.h
@@ -4,12 +4,12 @@
 
 namespace guavavalve {
 
-/// When a target that fails what it starts is kept from getting more.
+/// Limits the quarantine of targets that fail the work they start.
 struct QuarantinePolicy
 {
-    double maxFleetFraction = 0.1; ///< never more of the targets than this at once
-    Milliseconds firstProbeDelay{5000}; ///< wait before the first probe; doubles with each failure
-    Milliseconds maxProbeDelay{300000}; ///< the longest wait between probes
+    double maxFleetFraction = 0.1; ///< largest fraction of the targets quarantined at once
+    Milliseconds firstProbeDelay{5000}; ///< before the first probe; doubles with each failed probe
+    Milliseconds maxProbeDelay{300000}; ///< upper bound of the delay between probes
 };
 
 } // namespace guavavalve
--- a/src/decisions/queuetable.cpp
+++ b/src/decisions/queuetable.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Queues without tasks that are kept for what they have learned. Bounds the memory that callers
-/// could take by declaring ever new sizes.
+/// Empty queues that are kept for their learned profile. Bounds the memory that callers could take
+/// up by declaring ever new sizes.
 constexpr std::size_t maxIdleQueues = 8192;
 
 } // namespace
@@ -28,7 +28,7 @@
     : tasks(taskSlab)
 {}
 
-Index QueueTable::join(const QueueKey &key)
+Index QueueTable::acquireReference(const QueueKey &key)
 {
     const auto [entry, isNew] = this->byKey.try_emplace(key, noIndex);
     if (isNew) {
@@ -41,7 +41,7 @@
     return entry->second;
 }
 
-void QueueTable::leave(Index queue)
+void QueueTable::dropReference(Index queue)
 {
     if (--this->queues[queue].references > 0)
         return;
@@ -56,9 +56,9 @@
     this->idle.pop_front();
     WorkQueue &queue = this->queues[index];
     if (queue.references > 0)
-        return; // in use again; it comes back to the list when its last task leaves
+        return; // in use again; re-added when its last reference is dropped
     const auto entry = this->byKey.find(queue.key);
-    // The same index stands in the list twice if the queue was idle, used and idle again.
+    // The list contains an index twice if the queue became idle, was used and became idle again.
     if (entry == this->byKey.end() || entry->second != index)
         return;
     this->byKey.erase(entry);
--- a/src/decisions/queuetable.h
+++ b/src/decisions/queuetable.h
@@ -13,22 +13,22 @@
 
 using TaskSlab = Slab<TaskRecord>;
 
-/// All queues, found by key. A queue without tasks is kept for what it has learned, up to a bound.
+/// All queues, by key. Queues without tasks are kept for their learned profile, up to a limit.
 class QueueTable
 {
 public:
     explicit QueueTable(TaskSlab &tasks);
 
-    /// The queue of \a key, made if there is none; counts one more task.
-    Index join(const QueueKey &key);
+    /// The queue of \a key; creates it if there is none. Adds a reference for one task.
+    Index acquireReference(const QueueKey &key);
 
-    /// One task fewer refers to the queue.
-    void leave(Index queue);
+    /// Drops one task's reference to the queue.
+    void dropReference(Index queue);
 
     void link(Index task, bool front);
     void unlink(Index task);
 
-    /// Puts \a substitute, which is not linked, where \a task stands.
+    /// Replaces \a task in its queue by \a substitute, which must not be linked.
     void substitute(Index task, Index substitute);
 
     WorkQueue &operator[](Index queue) { return this->queues[queue]; }
@@ -47,7 +47,7 @@
     TaskSlab &tasks;
     Slab<WorkQueue> queues;
     std::unordered_map<QueueKey, Index, KeyHash> byKey;
-    std::deque<Index> idle; ///< may hold queues that are in use again
+    std::deque<Index> idle; ///< may contain queues that are in use again
 };
 
 } // namespace guavavalve::internal
--- a/src/decisions/reservation.h
+++ b/src/decisions/reservation.h
@@ -7,12 +7,12 @@
 
 namespace guavavalve::internal {
 
-/// Targets kept for the head of one queue.
+/// Targets reserved for the head of one queue.
 struct Reservation
 {
-    Index queue = noIndex; ///< noIndex: not in use
+    Index queue = noIndex; ///< noIndex: unused slot
     Instant madeAt{};
-    Instant readyAt{}; ///< when the targets are expected to have the room
+    Instant readyAt{}; ///< when the targets are expected to have enough room
     std::vector<Index> targets;
 };
 
--- a/src/decisions/reservations.cpp
+++ b/src/decisions/reservations.cpp
@@ -6,39 +6,41 @@
 
 namespace {
 
-/// Targets looked at to make one reservation: bounds the time of a decision on a large fleet.
-constexpr Index minTargetsSeen = 512;
-constexpr Index maxTargetsSeen = 4096;
-constexpr Index seenPerTask = 4;
-constexpr std::size_t maxBackfillSeen = 64;
-/// Room that is kept lies idle while it fills, so a small fleet keeps less at once.
+/// Targets scanned to make one reservation: bounds the time of a decision on a large fleet.
+constexpr Index minTargetsScanned = 512;
+constexpr Index maxTargetsScanned = 4096;
+constexpr Index targetsScannedPerTask = 4;
+constexpr std::size_t maxBackfillScanned = 64;
+/// Reserved targets are partly idle until they have drained, so a small fleet has fewer
+/// reservations at a time.
 constexpr std::uint32_t targetsPerReservation = 24;
-/// Assumed of a task whose run time is neither declared nor learned.
-constexpr Microseconds unknownRunTime = std::chrono::minutes(5);
-constexpr Microseconds unknownServiceTime = std::chrono::hours(1);
-/// A queue for which no room was found to reserve lets others try for this long.
-constexpr Microseconds tryAgainAfter = std::chrono::seconds(1);
-/// A reservation that has not led to a start is planned anew this part of the patience after it
-/// should have.
-constexpr int replanAfterPart = 8;
-/// How long it is believed that a reservation will be ready only then. Where run times are unknown
-/// it is said to be ready in five minutes or an hour; a hold for prompt work that had come to stand
-/// on its targets kept the only reservation of a small cell for four minutes, and with it everybody
-/// else's large jobs.
-constexpr Microseconds longestBelief = std::chrono::seconds(10);
-/// A queue waits this part of its patience, but not longer than the time below, before room is
-/// kept for it...
-constexpr int reserveAfterPart = 4;
-/// ...if its team is at or below the mean share, and this many patiences otherwise.
-constexpr int patiencesAboveShare = 2;
-constexpr Microseconds reserveAfterMost = std::chrono::seconds(2);
-/// Above any urgency that comes from a share.
+/// Assumed for a task whose run time is neither declared nor learned.
+constexpr Microseconds defaultRunTime = std::chrono::minutes(5);
+constexpr Microseconds defaultServiceRunTime = std::chrono::hours(1);
+/// Delay before a queue for which nothing could be reserved is tried again, so that others get a
+/// turn.
+constexpr Microseconds retryAfter = std::chrono::seconds(1);
+/// A reservation whose work has not started is replanned once it is overdue by the preemption
+/// delay divided by this.
+constexpr int replanDelayDivisor = 8;
+/// Upper bound of the expected time until a reservation is ready, as used for replanning. With
+/// unknown run times the estimate is five minutes or an hour. Without this bound, headroom for
+/// prompt work that is added to the reserved targets can block the only reservation of a small cell
+/// for four minutes, and with it all other large jobs.
+constexpr Microseconds maxExpectedDelay = std::chrono::seconds(10);
+/// A queue whose team is at or below the mean rank gets a reservation after waiting for its
+/// preemption delay divided by this, or for maxReserveDelay if that is shorter.
+constexpr int reserveDelayDivisor = 4;
+/// Any queue gets a reservation after waiting for this many times its preemption delay.
+constexpr int overdueDelayFactor = 2;
+constexpr Microseconds maxReserveDelay = std::chrono::seconds(2);
+/// Exceeds any urgency that is derived from a share.
 constexpr double overdueUrgency = 100.0;
 
 } // namespace
 
-Reservations::Reservations(Ledger &books)
-    : ledger(books)
+Reservations::Reservations(Ledger &sharedLedger)
+    : ledger(sharedLedger)
 {}
 
 double Reservations::meanRank() const
@@ -57,19 +59,19 @@
     const Milliseconds preemptionDelay =
         this->ledger.policy.of(queue.key.workClass).preemptionDelay;
     const TeamRecord &team = this->ledger.teams[queue.key.team];
-    if (queue.reservation != noIndex || now - queue.reservationTriedAt < tryAgainAfter
+    if (queue.reservation != noIndex || now - queue.reservationTriedAt < retryAfter
         || queue.key.workClass == WorkClass::Prompt || preemptionDelay.count() == 0
         || !this->ledger.withinLimit(team, queue.charge))
         return 0.0;
     const Microseconds waited = now - queue.blockedSince;
-    // Whoever has waited this long gets its turn, whatever its team's share: or a large job of a
-    // team that always has small work running would wait for ever.
-    if (waited >= preemptionDelay * patiencesAboveShare) {
+    // After this long a queue gets its turn whatever its team's share is. Otherwise a large job of
+    // a team that always has small work running would starve.
+    if (waited >= preemptionDelay * overdueDelayFactor) {
         return overdueUrgency
             + std::chrono::duration<double>(waited).count()
             / std::chrono::duration<double>(preemptionDelay).count();
     }
-    if (waited < std::min<Microseconds>(preemptionDelay / reserveAfterPart, reserveAfterMost)
+    if (waited < std::min<Microseconds>(preemptionDelay / reserveDelayDivisor, maxReserveDelay)
         || team.rank > mean)
         return 0.0;
     return 1.0 + (mean - team.rank) / std::max(mean, 1e-12);
@@ -98,14 +100,14 @@
         const WorkQueue &queue = this->ledger.queues[reservation.queue];
         const Milliseconds preemptionDelay =
             this->ledger.policy.of(queue.key.workClass).preemptionDelay;
-        // Run times are often off, and a hold may have come to stand on a target since.
+        // Run times are often wrong, and headroom may have been added to a target in the meantime.
         const Instant dueAt =
-            std::min<Instant>(reservation.readyAt, reservation.madeAt + longestBelief);
-        if (queue.count == 0 || now - dueAt > preemptionDelay / replanAfterPart)
+            std::min<Instant>(reservation.readyAt, reservation.madeAt + maxExpectedDelay);
+        if (queue.count == 0 || now - dueAt > preemptionDelay / replanDelayDivisor)
             this->drop(reservation);
     }
     const std::size_t most = std::clamp<std::size_t>(
-        this->ledger.fleet.known() / targetsPerReservation, 1, maxReservations);
+        this->ledger.fleet.nonDepartingTargets() / targetsPerReservation, 1, maxReservations);
     if (this->active >= most)
         return;
     const Index queue = this->mostUrgent(now);
@@ -122,7 +124,7 @@
     Microseconds runTime = queue.profile.expectedRunTime(task.declaredRunTime);
     if (runTime.count() == 0) {
         const bool service = queue.key.workClass == WorkClass::Service;
-        runTime = service ? unknownServiceTime : unknownRunTime;
+        runTime = service ? defaultServiceRunTime : defaultRunTime;
     }
     return std::max(now, task.placedAt + runTime);
 }
@@ -136,9 +138,9 @@
     candidate.freeAt = now;
     Resources room = target.sharedFree();
     if (!charge.fitsInto(room)) {
-        // Room kept for prompt work stays so. A service may run for ever: targets without one
-        // come first, but where all have one, draining some is all that can be done.
-        room = target.info.total - target.hold;
+        // Headroom for prompt work is not available. Services may run indefinitely, so targets
+        // without one sort first; if all targets have one, some of them have to be drained.
+        room = target.info.total - target.headroom;
         for (const Index taskIndex : target.tasks) {
             const TaskRecord &task = this->ledger.tasks[taskIndex];
             const WorkClass workClass = this->ledger.queues[task.queue].key.workClass;
@@ -159,8 +161,9 @@
     queue.reservationTriedAt = now;
     const Index limit = this->ledger.fleet.limit();
     std::vector<Candidate> candidates;
-    const Index seen = std::min(
-        {limit, maxTargetsSeen, std::max(minTargetsSeen, queue.key.gangSize * seenPerTask)});
+    const Index seen =
+        std::min({limit, maxTargetsScanned,
+                  std::max(minTargetsScanned, queue.key.gangSize * targetsScannedPerTask)});
     for (Index i = 0; i < seen; ++i) {
         this->cursor = (this->cursor + 1) % limit;
         const Availability availability = this->ledger.fleet[this->cursor].availability();
@@ -178,7 +181,7 @@
     while (used < candidates.size() && capacity < queue.key.gangSize)
         capacity += candidates[used++].capacity;
     if (capacity < queue.key.gangSize)
-        return false; // room kept for a part of a gang would only lie idle
+        return false; // room reserved for only part of a gang would stay idle
     candidates.resize(used);
     Reservation &reservation = this->slots[slot];
     reservation.queue = queueIndex;
@@ -190,7 +193,7 @@
         reservation.targets.push_back(candidate.target);
         this->ledger.fleet[candidate.target].reservation = slot;
         this->ledger.fleet.refresh(candidate.target);
-        this->ledger.markFreed(candidate.target); // for the holder to see
+        this->ledger.markFreed(candidate.target); // so that the reservation's queue is tried on it
     }
     queue.reason = Reason::GangReserved;
     return true;
@@ -234,7 +237,7 @@
         const Reservation &reservation =
             this->slots[(this->backfillCursor + i) % this->slots.size()];
         for (const Index index : reservation.targets) {
-            if (++seen > maxBackfillSeen) {
+            if (++seen > maxBackfillScanned) {
                 this->backfillCursor = (this->backfillCursor + i) % this->slots.size();
                 return noIndex;
             }
--- a/src/decisions/reservations.h
+++ b/src/decisions/reservations.h
@@ -8,28 +8,27 @@
 
 namespace guavavalve::internal {
 
-/// Room kept together for a queue's head that would otherwise wait for ever while smaller tasks
-/// take each bit of room that comes free: an all-at-once job, or one large task. Others may use
-/// the room only if they leave it before the reservation is expected to start (backfill, as in
-/// EASY: Lifka, 1995).
+/// Reserves targets for a queue's head (a gang or one large task) that would otherwise starve while
+/// smaller tasks take all room as it is freed. Other work may use a reserved target only if it is
+/// expected to end before the reservation starts (backfill, as in EASY: Lifka, 1995).
 class Reservations
 {
 public:
     explicit Reservations(Ledger &ledger);
 
-    /// Reserves for the most urgent queue, and drops what is no longer wanted.
+    /// Makes a reservation for the most urgent queue, and drops those that are no longer needed.
     void update(Instant now);
 
-    /// The queue's head has been placed or is gone.
+    /// Drops the queue's reservation, if any, because its head has been placed or is gone.
     void drop(Index queue);
 
     const Reservation &operator[](Index reservation) const { return this->slots[reservation]; }
 
-    /// True if work of \a queue may go on \a target, whose zone is Reserved.
+    /// True if work of \a queue may be placed on \a target, whose availability is Reserved.
     bool admits(const WorkQueue &queue, const TargetRecord &target, Microseconds declaredRunTime,
                 Instant now) const;
 
-    /// A reserved target that \a queue may be backfilled on, or noIndex.
+    /// A reserved target on which work of \a queue may be backfilled, or noIndex.
     Index findBackfill(const WorkQueue &queue, Microseconds declaredRunTime, Instant now);
 
     bool any() const { return this->active > 0; }
@@ -37,21 +36,21 @@
 private:
     static constexpr std::size_t maxReservations = 64;
 
-    /// A target and when it is expected to have room.
+    /// A target and the time when it is expected to have room.
     struct Candidate
     {
         Instant freeAt{};
         Index target = noIndex;
-        std::uint32_t capacity = 0; ///< tasks of the need that it will hold then
+        std::uint32_t capacity = 0; ///< tasks that will fit then
     };
 
-    /// Mean rank of the teams that have something placed.
+    /// Mean rank of the teams that have tasks placed.
     double meanRank() const;
 
-    /// How much a blocked queue deserves a reservation; zero: not at all.
+    /// Priority of a blocked queue for a reservation; zero if it must not get one.
     double urgency(const WorkQueue &queue, double mean, Instant now) const;
     Index mostUrgent(Instant now) const;
-    /// False if even the drained targets that were seen would not hold the queue's head.
+    /// Returns false if the head would not fit on the scanned targets even once they have drained.
     bool reserve(Index queue, Index slot, Instant now);
     void drop(Reservation &reservation);
     Candidate candidate(Index target, const Resources &charge, Instant now) const;
@@ -61,7 +60,7 @@
     std::array<Reservation, maxReservations> slots;
     std::size_t active = 0;
     std::size_t backfillCursor = 0;
-    Index cursor = 0; ///< where the next look over the fleet starts
+    Index cursor = 0; ///< where the next scan of the fleet starts
 };
 
 } // namespace guavavalve::internal
--- a/src/decisions/shares.cpp
+++ b/src/decisions/shares.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-constexpr int fillingSteps = 60;
+constexpr int bisectionSteps = 60;
 
-/// What a team would like to have, as a dominant share and a mixture of resources.
+/// A team's demand, as a dominant share and a mixture of resources.
 struct Demand
 {
     double share = 0.0; ///< dominant share of all that it has placed and waiting
     double weight = 1.0;
-    std::array<double, resourceKindCount> mixture{}; ///< parts of the fleet per unit of share
+    std::array<double, resourceKindCount>
+        mixture{}; ///< fraction of the fleet per unit of share, by kind
 };
 
-double part(std::int64_t amount, std::int64_t total)
+double fraction(std::int64_t amount, std::int64_t total)
 {
     return total > 0 ? static_cast<double>(amount) / static_cast<double>(total) : 0.0;
 }
@@ -36,11 +37,11 @@
     const Resources &mixed = placedShare > 0.0 ? team.placed : wanted;
     const double mixedShare = mixed.dominantShare(total);
     for (std::size_t kind = 0; kind < resourceKindCount && mixedShare > 0.0; ++kind)
-        demand.mixture[kind] = part(mixed.amounts[kind], total.amounts[kind]) / mixedShare;
+        demand.mixture[kind] = fraction(mixed.amounts[kind], total.amounts[kind]) / mixedShare;
     return demand;
 }
 
-/// True if everyone can be given up to \a level by weight without passing what is placed.
+/// True if every team can be given up to \a level times its weight within \a room.
 bool fits(const std::vector<Demand> &demands, const std::array<double, resourceKindCount> &room,
           double level)
 {
@@ -61,14 +62,14 @@
 {
     std::array<double, resourceKindCount> room{};
     for (std::size_t kind = 0; kind < resourceKindCount; ++kind)
-        room[kind] = part(statistics.placed.amounts[kind], statistics.total.amounts[kind]);
+        room[kind] = fraction(statistics.placed.amounts[kind], statistics.total.amounts[kind]);
     double low = 0.0;
     double high = 0.0;
     for (const Demand &demand : demands)
         high = std::max(high, demand.share / demand.weight);
     if (fits(demands, room, high))
         return high;
-    for (int step = 0; step < fillingSteps; ++step) {
+    for (int step = 0; step < bisectionSteps; ++step) {
         const double middle = (low + high) / 2.0;
         (fits(demands, room, middle) ? low : high) = middle;
     }
--- a/src/decisions/shares.h
+++ b/src/decisions/shares.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve::internal {
 
-/// What one team has and would like to have.
+/// What one team has placed and what it is waiting for.
 struct TeamDemand
 {
     TeamPolicy policy;
@@ -15,13 +15,14 @@
     Resources waitingNeed;
 };
 
-/// Fills in each entry's share and due; \a demands stands in the same order as the teams. The due
-/// is what weighted max-min fairness over dominant shares (progressive filling, Ghodsi et al.,
-/// 2011) would give of what is placed now, given what every team has placed and waiting.
-/// Cost: teams times a constant.
+/// Fills in the share and fairShare of each team entry; \a demands must be in the same order as the
+/// entries. The
+/// fair share is the part of the currently placed resources that weighted max-min fairness
+/// over dominant shares (progressive filling, Ghodsi et al., 2011) would allot to the team, given
+/// what every team has placed and waiting. Cost: linear in the number of teams.
 void fillShares(Statistics &statistics, const std::vector<TeamDemand> &demands);
 
-/// The figures of the books.
+/// Statistics of the ledger, with the shares of all teams.
 Statistics shareStatistics(const Ledger &ledger);
 
 } // namespace guavavalve::internal
--- a/src/decisions/slab.h
+++ b/src/decisions/slab.h
@@ -9,8 +9,8 @@
 
 namespace guavavalve::internal {
 
-/// Records at stable indexes and addresses; freed indexes are used again, last freed first. Grows
-/// by chunks: one that moved everything when it grows would hold up a decision for milliseconds.
+/// Records with stable indexes and addresses. Freed indexes are reused, the last freed first. Grows
+/// by chunks, because moving all records on growth would delay a decision by milliseconds.
 template<typename Record>
 class Slab
 {
@@ -39,10 +39,10 @@
         return (*this->chunks[index / chunkSize])[index % chunkSize];
     }
 
-    /// Indexes ever used; those that were removed are among them.
+    /// Number of indexes ever used, including removed ones.
     Index limit() const { return this->used; }
 
-    /// Records that are in use.
+    /// Number of records in use.
     std::size_t size() const { return this->used - this->unused.size(); }
 
 private:
@@ -50,7 +50,7 @@
     using Chunk = std::array<Record, chunkSize>;
 
     std::vector<std::unique_ptr<Chunk>> chunks;
-    Index used = 0; ///< indexes ever given out
+    Index used = 0; ///< number of indexes ever handed out
     std::vector<Index> unused;
 };
 
--- a/src/decisions/spread.h
+++ b/src/decisions/spread.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve::internal {
 
-/// How a service's tasks are spread: how many stand in each failure domain and rack.
+/// Distribution of a service's placed tasks: their number in each failure domain and rack.
 class Spread
 {
 public:
--- a/src/decisions/targetinfo.h
+++ b/src/decisions/targetinfo.h
@@ -7,15 +7,15 @@
 
 namespace guavavalve {
 
-/// What the scheduler knows of an announced target. Names are interned to numbers by the caller.
+/// An announced target as the scheduler sees it. The caller maps names to numbers.
 struct TargetInfo
 {
     TargetId id = TargetId::None;
     Incarnation incarnation = 0;
     std::uint16_t failureDomain = 0;
-    std::uint16_t rack = 0; ///< unique over failure domains
+    std::uint16_t rack = 0; ///< number is unique across failure domains
     Resources total;
-    bool departing = false; ///< gets nothing new
+    bool departing = false; ///< gets no new tasks
 };
 
 } // namespace guavavalve
--- a/src/decisions/targetrecord.h
+++ b/src/decisions/targetrecord.h
@@ -12,35 +12,35 @@
 
 namespace guavavalve::internal {
 
-/// Who may be placed on a target.
+/// Which work may be placed on a target.
 enum class Availability : std::uint8_t {
-    Normal, ///< anyone
-    Reserved, ///< the holder of its reservation, and what ends before that starts
-    Closed, ///< nobody: unknown, lost, departing or in quarantine
+    Normal, ///< any work
+    Reserved, ///< the reservation's queue, and work that ends before the reservation starts
+    Closed, ///< none: unknown, lost, departing or quarantined
 };
 
 inline constexpr std::size_t availabilityCount = 3;
 
-/// One target and what is set aside on it.
+/// One target and the resources allocated on it.
 struct TargetRecord
 {
     TargetInfo info;
     Resources placed;
-    Resources hold; ///< kept for prompt work, what is placed of it included
+    Resources headroom; ///< for prompt work, including what prompt work has placed
     Resources promptPlaced;
     std::vector<Index> tasks; ///< placed here
-    std::int64_t usedMilliCores = 0; ///< last measured, of all its tasks
+    std::int64_t usedMilliCores = 0; ///< last measured, sum over its tasks
     std::int64_t usedMemoryMb = 0;
     bool known = false; ///< announced and not lost
-    Index holdPosition = noIndex; ///< in the fleet's list of targets that have a hold
+    Index headroomPosition = noIndex; ///< in the fleet's list of targets with headroom
     bool quarantined = false;
     bool freed = false; ///< has gained room since the last decision
     Index reservation = noIndex;
-    Index bucket = noIndex; ///< in the index of free room
+    Index bucket = noIndex; ///< in the index of free capacity
     Index bucketPosition = 0;
-    Index sizeClass = noIndex; ///< in the table of sizes; noIndex: not counted there
-    bool staying = false; ///< counted in the fleet's total
-    float suspicion = 0.0F; ///< evidence that it fails everything; see Quarantine
+    Index sizeClass = noIndex; ///< in the table of sizes; noIndex if not counted there
+    bool countedInTotal = false; ///< counted in the fleet's total
+    float suspicion = 0.0F; ///< evidence that it fails every task; see Quarantine
     std::uint8_t probeSuccesses = 0;
     bool probing = false;
     Instant probeAt{};
@@ -57,12 +57,14 @@
 
     Resources free() const { return this->info.total - this->placed; }
 
-    /// What is left for work other than prompt. May be below zero where a hold is new.
+    /// Free capacity for work other than prompt. May be negative while headroom that was just added
+    /// is still in use by other work.
     Resources sharedFree() const
     {
         Resources left = this->free();
         for (std::size_t kind = 0; kind < resourceKindCount; ++kind) {
-            const std::int64_t held = this->hold.amounts[kind] - this->promptPlaced.amounts[kind];
+            const std::int64_t held =
+                this->headroom.amounts[kind] - this->promptPlaced.amounts[kind];
             left.amounts[kind] -= held > 0 ? held : 0;
         }
         return left;
--- a/src/decisions/taskrecord.h
+++ b/src/decisions/taskrecord.h
@@ -10,8 +10,7 @@
 
 namespace guavavalve::internal {
 
-/// One task that waits or is placed. What its queue knows (team, class, declared need) is kept
-/// there once.
+/// One waiting or placed task. Its team, class and declared need are stored once, in its queue.
 struct TaskRecord
 {
     TaskId id = TaskId::None;
@@ -27,15 +26,15 @@
     Index target = noIndex; ///< noIndex: waiting
     Index targetPosition = 0; ///< in the target's list
     Index gangPosition = 0; ///< in the gang's list
-    std::uint32_t considered = 0; ///< targets weighed for its placement
+    std::uint32_t considered = 0; ///< targets scored for its placement
     std::uint32_t usedMilliCores = 0; ///< last measured
     std::uint32_t usedMemoryMb = 0;
     Reason reason = Reason::None; ///< of its placement
     bool repeatable = true;
-    bool linked = false; ///< stands in its queue
+    bool linked = false; ///< is linked in its queue
     bool cancelled = false;
     bool throttled = false;
-    bool ending = false; ///< a checkpoint or stop has been asked for
+    bool preempting = false; ///< a checkpoint or stop has been requested
     bool probe = false;
 };
 
--- a/src/decisions/teamrecord.h
+++ b/src/decisions/teamrecord.h
@@ -12,7 +12,7 @@
 
 namespace guavavalve::internal {
 
-/// Work is looked at in two rounds: prompt work first, then all other.
+/// Placement proceeds in two rounds: prompt work first, then all other work.
 enum class Round : std::uint8_t { Prompt, Other };
 
 inline constexpr std::size_t roundCount = 2;
@@ -22,20 +22,20 @@
     return workClass == WorkClass::Prompt ? Round::Prompt : Round::Other;
 }
 
-/// One team and what it has placed and waiting.
+/// One team with its placed and waiting work.
 struct TeamRecord
 {
     TeamPolicy policy;
     bool configured = false;
     Resources placed;
-    Resources waitingNeed; ///< of its waiting tasks, as declared
+    Resources waitingNeed; ///< sum over its waiting tasks, as declared
     std::uint32_t running = 0;
     std::array<std::uint32_t, workClassCount> waiting{};
     std::array<DecayingRate, workClassCount> starts;
-    std::array<std::vector<Index>, roundCount> ready; ///< its queues that can be looked at
-    std::vector<Index> atLimit; ///< its queues that wait for its own limit
-    double rank = 0.0; ///< dominant share by weight; the lowest goes first
-    std::array<bool, roundCount> ordered{}; ///< stands in the order of the round
+    std::array<std::vector<Index>, roundCount> ready; ///< its queues in QueueState::Ready
+    std::vector<Index> atLimit; ///< its queues in QueueState::AtLimit
+    double rank = 0.0; ///< dominant share divided by weight; the lowest goes first
+    std::array<bool, roundCount> ordered{}; ///< is in the ledger's order of the round
 
     std::uint32_t waitingTasks() const
     {
--- a/src/decisions/victimset.cpp
+++ b/src/decisions/victimset.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t maxExact = 8;
+constexpr std::size_t maxExactVictims = 8;
 
-VictimSet chosen(const std::vector<Victim> &victims, std::uint32_t mask)
+VictimSet setFromMask(const std::vector<Victim> &victims, std::uint32_t mask)
 {
     VictimSet set;
     set.sufficient = true;
@@ -41,7 +41,7 @@
             bestMask = mask;
         }
     }
-    return bestMask == 0 ? VictimSet() : chosen(victims, bestMask);
+    return bestMask == 0 ? VictimSet() : setFromMask(victims, bestMask);
 }
 
 VictimSet greedySet(std::vector<Victim> victims, const Resources &wanted)
@@ -73,7 +73,7 @@
 
 VictimSet cheapestSet(std::vector<Victim> victims, const Resources &wanted)
 {
-    if (victims.size() <= maxExact)
+    if (victims.size() <= maxExactVictims)
         return exactSet(victims, wanted);
     return greedySet(std::move(victims), wanted);
 }
--- a/src/decisions/victimset.h
+++ b/src/decisions/victimset.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve::internal {
 
-/// One task that could be ended, what that would free and what it would cost.
+/// A task that could be preempted, the room that this would free and its cost.
 struct Victim
 {
     Index task = noIndex;
@@ -15,7 +15,7 @@
     double cost = 0.0;
 };
 
-/// Tasks to end on one target.
+/// Tasks to preempt on one target.
 struct VictimSet
 {
     Index target = noIndex;
@@ -24,8 +24,9 @@
     bool sufficient = false;
 };
 
-/// The cheapest set of \a victims that frees \a wanted at least: exact for up to eight victims, and
-/// beyond that the cheapest first, with what turns out not to be needed dropped again.
+/// The cheapest subset of \a victims that frees at least \a wanted. Exact for up to eight victims;
+/// beyond that greedy: the cheapest first, and then those that turn out not to be needed are
+/// removed.
 VictimSet cheapestSet(std::vector<Victim> victims, const Resources &wanted);
 
 } // namespace guavavalve::internal
--- a/src/decisions/workprofile.cpp
+++ b/src/decisions/workprofile.cpp
@@ -7,26 +7,26 @@
 
 namespace {
 
-// Growing a size errs to the safe side and needs little evidence; shrinking needs more.
+// Increasing a size is safe and needs few samples; decreasing it needs more.
 constexpr std::uint32_t samplesToGrow = 4;
 constexpr std::uint32_t samplesToShrink = 16;
 constexpr double minFactor = 0.25;
 constexpr double maxFactor = 4.0;
-/// Sizes are corrected in steps: a size that changes with each sample would make every queue
-/// look at the fleet anew.
+/// Sizes are corrected in steps. A size that changed with each sample would make every queue search
+/// the fleet again.
 constexpr double factorStep = 1.1;
-/// Beyond the mean, to hold what most tasks use at their peak.
+/// Deviations above the mean that a size covers, so that it suffices for the peak of most tasks.
 constexpr double deviationsAbove = 2.0;
-/// A difference that is not worth a correction.
+/// Relative difference below which a size is not corrected.
 constexpr double deadBand = 0.1;
 
-constexpr std::uint32_t runsToBelieve = 4;
+constexpr std::uint32_t minRunTimeSamples = 4;
 
-// Prior of a failure chance: one in ten, worth ten outcomes.
+// Prior of the failure probability: one in ten, with the weight of ten outcomes.
 constexpr float priorFailures = 1.0F;
 constexpr float priorOutcomes = 10.0F;
-constexpr float successesForHalfTrust = 2.0F;
-constexpr float outcomesRemembered = 64.0F;
+constexpr float successesForHalfConfidence = 2.0F;
+constexpr float maxOutcomeWeight = 64.0F;
 
 std::int64_t scaled(std::int64_t amount, double factor)
 {
@@ -53,11 +53,11 @@
 
 void WorkProfile::addOutcome(bool failed, double suspicion)
 {
-    // A target that fails everything must not make the work look bad, or its failures would soon
-    // no longer count against the target.
+    // A target that fails everything must not raise the failure probability of the work. Otherwise
+    // its failures would soon no longer count against the target.
     const float weight = static_cast<float>(1.0 / (1.0 + suspicion));
     (failed ? this->failures : this->successes) += weight;
-    if (this->failures + this->successes > outcomesRemembered) {
+    if (this->failures + this->successes > maxOutcomeWeight) {
         this->failures /= 2;
         this->successes /= 2;
     }
@@ -88,7 +88,7 @@
 
 Microseconds WorkProfile::expectedRunTime(Microseconds declared) const
 {
-    if (this->runSeconds.count() < runsToBelieve)
+    if (this->runSeconds.count() < minRunTimeSamples)
         return declared;
     const double seconds = this->runSeconds.mean() + this->runSeconds.deviation();
     return std::chrono::duration_cast<Microseconds>(std::chrono::duration<double>(seconds));
@@ -99,9 +99,9 @@
     return (this->failures + priorFailures) / (this->failures + this->successes + priorOutcomes);
 }
 
-double WorkProfile::trust() const
+double WorkProfile::successConfidence() const
 {
-    return this->successes / (this->successes + successesForHalfTrust);
+    return this->successes / (this->successes + successesForHalfConfidence);
 }
 
 } // namespace guavavalve::internal
--- a/src/decisions/workprofile.h
+++ b/src/decisions/workprofile.h
@@ -6,32 +6,33 @@
 
 namespace guavavalve::internal {
 
-/// What has been learned of the work of one team, class and shape: real sizes, run times and how
-/// often it fails through its own fault.
+/// Learned properties of the work of one team, class and shape: actual sizes, run times, and how
+/// often it fails for reasons of its own.
 class WorkProfile
 {
 public:
-    /// A task that declared \a need was measured to use \a used.
+    /// Adds a measurement: a task that declared \a need uses \a used.
     void addUsage(const Resources &need, const Resources &used);
 
-    /// A task ran for \a runTime to its good end.
+    /// Adds the run time of a task that succeeded.
     void addRunTime(Microseconds runTime);
 
-    /// A task ended on a target that is suspect to the degree \a suspicion (0: not at all).
+    /// Adds the outcome of a task on a target with the given \a suspicion (0: none). The higher the
+    /// suspicion, the less the outcome counts.
     void addOutcome(bool failed, double suspicion);
 
-    /// \a need as usage has shown it to be, in steps so that it rarely changes. Slots,
-    /// connections and accelerators are exact as declared.
+    /// \a need corrected by measured usage, in steps so that it rarely changes. Slots, connections
+    /// and accelerators stay as declared.
     Resources corrected(const Resources &need) const;
 
-    /// How long a task will run: learned, else as declared, else zero for unknown.
+    /// Expected run time of a task: as learned, otherwise \a declared; zero if neither is known.
     Microseconds expectedRunTime(Microseconds declared) const;
 
-    /// Chance that a task of this work fails on a sound target, 0 to 1, never quite either.
+    /// Probability that a task of this work fails on a healthy target, strictly between 0 and 1.
     double failureChance() const;
 
-    /// How well it is known that this work can succeed at all, 0 to 1.
-    double trust() const;
+    /// Confidence that this work can succeed at all, from 0 to 1.
+    double successConfidence() const;
 
 private:
     static double factorOf(const MovingMean &ratio);
--- a/src/decisions/workqueue.h
+++ b/src/decisions/workqueue.h
@@ -11,8 +11,8 @@
 
 namespace guavavalve::internal {
 
-/// What tells one queue from another: its tasks are alike to the scheduler, so that a blocked
-/// queue is looked at once and not once a task.
+/// Identifies a queue. All tasks of a queue are equivalent to the scheduler, so that a blocked
+/// queue is examined once instead of once per task.
 struct QueueKey
 {
     Index team = noIndex;
@@ -27,20 +27,20 @@
     }
 };
 
-/// Whether a queue can be decided about.
+/// Whether a queue is eligible for placement.
 enum class QueueState : std::uint8_t {
     Idle, ///< empty
-    Ready, ///< to be looked at
+    Ready, ///< eligible for placement
     NoRoom, ///< its head fits on no target; a target that frees room makes it ready
-    AtLimit, ///< its head would pass the team's limit; an end in the team makes it ready
+    AtLimit, ///< its head would exceed the team's limit; made ready when a task of the team ends
 };
 
-/// The waiting tasks of one team, class and shape, first come first served. Of a gang only one
-/// task stands here, for all.
+/// The waiting tasks of one team, class and shape, in FIFO order. A gang is represented by one of
+/// its tasks.
 struct WorkQueue
 {
     QueueKey key;
-    Resources charge; ///< the need as corrected from usage
+    Resources charge; ///< the need, corrected by measured usage
     WorkProfile profile;
     Index head = noIndex;
     Index tail = noIndex;
@@ -48,12 +48,12 @@
     std::uint32_t references = 0; ///< tasks, waiting or placed
     Index statePosition = 0; ///< in the list of its state
     QueueState state = QueueState::Idle;
-    bool hintsOnly = false; ///< ready only because of targets that freed room
+    bool hintsOnly = false; ///< only targets that freed room are to be considered
     Reason reason = Reason::None; ///< why its head waits
-    std::uint32_t considered = 0; ///< targets weighed when it was last looked at
+    std::uint32_t considered = 0; ///< targets scored when it was last examined
     Instant decidedAt{};
     Instant blockedSince{};
-    Instant roomAskedAt{};
+    Instant preemptionRequestedAt{};
     Instant reservationTriedAt{};
     Index reservation = noIndex;
 };
--- a/test/decisions/failingtest.cpp
+++ b/test/decisions/failingtest.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Runs short batch tasks of two teams for a while; \a fails says which attempts fail.
+/// Runs short batch tasks of two teams for \a time; \a fails tells which attempts fail. Returns the
+/// number of starts on each target.
 std::map<TargetId, int> runWork(SmallCell &cell, Microseconds time,
                                 const std::function<bool(const CheckedScheduler::Place &)> &fails)
 {
@@ -28,8 +29,8 @@
 
 } // namespace
 
-// A worker fails all that it starts, at once. Because it is always free again, it would draw in
-// and fail most of the cell's work.
+// A target fails every task immediately. Since it is always free again, it would attract and fail
+// most of the cell's work.
 TEST_CASE("a target that fails everything gets only probes", "[failing]")
 {
     SmallCell cell(10, 2);
@@ -40,13 +41,13 @@
     CHECK(starts.count(TargetId(4)) == 1);
     CHECK(starts.at(TargetId(4)) <= 4); // after 5, 10, 20 and 40 s
     CHECK(starts.at(TargetId(5)) > 100);
-    // Mended, it comes back by its probes.
+    // Once it works again, successful probes release it.
     runWork(cell, std::chrono::minutes(2), [](const auto &) { return false; });
     CHECK(cell.scheduler.statistics().quarantined == 0);
 }
 
-// One team's job fails wherever it runs. No target is to blame, and none may be taken from the
-// other team's work.
+// All work of one team fails wherever it runs. The targets are healthy, so none may be quarantined
+// and lost to the other team.
 TEST_CASE("work that fails everywhere takes no target out of service", "[failing]")
 {
     SmallCell cell(20, 2);
@@ -55,9 +56,9 @@
     CHECK(cell.scheduler.statistics().quarantined == 0);
 }
 
-// Something that all targets share breaks, and everything fails everywhere. An empty fleet would
-// help nobody.
-TEST_CASE("quarantine never takes more than its part of the fleet", "[failing]")
+// A fault that affects all targets makes every task fail. Quarantining the whole fleet would leave
+// nothing to run work on.
+TEST_CASE("quarantine never exceeds its fraction of the fleet", "[failing]")
 {
     SmallCell cell(20, 2);
     runWork(cell, std::chrono::seconds(5), [](const auto &) { return false; });
@@ -69,7 +70,7 @@
     CHECK(within);
 }
 
-TEST_CASE("a target that returns with a new incarnation starts clean", "[failing]")
+TEST_CASE("a target that returns with a new incarnation is not quarantined", "[failing]")
 {
     SmallCell cell(10, 2);
     runWork(cell, std::chrono::seconds(3),
@@ -79,8 +80,8 @@
     CHECK(cell.scheduler.statistics().quarantined == 0);
 }
 
-// A target is drained for repair. What runs there ends in its own time; nothing new may start.
-TEST_CASE("a departing target gets nothing new", "[failing]")
+// A target is drained. Its running tasks may finish, but no new task may start on it.
+TEST_CASE("a departing target gets no new tasks", "[failing]")
 {
     SmallCell cell(1, 1);
     const TaskId first = cell.submit(1, WorkClass::Batch, 1000);
--- a/test/decisions/gangtest.cpp
+++ b/test/decisions/gangtest.cpp
@@ -5,9 +5,9 @@
 using namespace guavavalve;
 using namespace guavavalve::testing;
 
-// Small tasks come all the time and take each bit of room as it comes free, so that a job that
-// needs whole targets at once would never start. It must, and the small ones must go on.
-TEST_CASE("a gang starts although small work never stops coming", "[gang]")
+// A steady stream of small tasks takes all room as it is freed, so that a gang that needs whole
+// targets at once would starve. The gang must start, and small tasks must still be placed.
+TEST_CASE("a gang starts despite a steady stream of small tasks", "[gang]")
 {
     SmallCell cell(6, 2);
     std::map<TaskId, Instant> started;
@@ -41,9 +41,9 @@
     CHECK(cell.checked.violation.empty());
 }
 
-// One task of a running gang is lost with its target. The job is only of use whole: the others
-// are ended, and then all start again together.
-TEST_CASE("a gang that loses a task starts again as a whole", "[gang]")
+// One task of a running gang is lost with its target. The other tasks are useless without it, so
+// they are stopped, and then the whole gang is placed again.
+TEST_CASE("a gang that loses a task is restarted as a whole", "[gang]")
 {
     SmallCell cell(4, 1);
     cell.submitGang(1, 4, 6000);
@@ -61,7 +61,7 @@
     CHECK(cell.checked.violation.empty());
 }
 
-TEST_CASE("a task that is unlike its gang is refused", "[gang]")
+TEST_CASE("a task that differs from its gang is refused", "[gang]")
 {
     SmallCell cell(4, 2);
     TaskRequest member = cell.task(1, WorkClass::Gang, 1000);
@@ -75,7 +75,8 @@
     CHECK_FALSE(cell.scheduler.submit(other, cell.now).has_error());
 }
 
-// A commit fails after a change of controller. None of the gang may stay placed.
+// A placement is rejected, as when its commit fails after a change of controller. No task of the
+// gang may stay placed.
 TEST_CASE("a rejected gang is undone as a whole and placed again", "[gang]")
 {
     SmallCell cell(4, 1);
--- a/test/decisions/prompttest.cpp
+++ b/test/decisions/prompttest.cpp
@@ -6,8 +6,8 @@
 using namespace guavavalve;
 using namespace guavavalve::testing;
 
-// The cell is full of long batch work when a supervisor asks for a status. It must not wait for
-// that work to end; one checkpoint is enough.
+// A prompt task is submitted while long batch tasks fill the cell. It must not wait for them to
+// end; checkpointing a single task frees enough room.
 TEST_CASE("prompt work gets room in a cell full of batch work", "[prompt]")
 {
     SmallCell cell(4, 2);
@@ -22,8 +22,8 @@
     CHECK(cell.checked.violation.empty());
 }
 
-// A target does not carry out a checkpoint. The room is asked for again, more firmly.
-TEST_CASE("a checkpoint that is not obeyed is followed by a stop", "[prompt]")
+// A target does not carry out a requested checkpoint. The request must be escalated to a stop.
+TEST_CASE("a checkpoint that is not carried out is followed by a stop", "[prompt]")
 {
     SmallCell cell(1, 1);
     cell.targetsObeyStops = false;
@@ -36,8 +36,9 @@
     CHECK(decisions.back().reason == Reason::RoomForPrompt);
 }
 
-// Status checks arrive steadily while batch work fills whatever it can. Room is kept free in
-// proportion, so that a check starts at once and nothing has to be ended for it.
+// Prompt tasks arrive steadily while batch work fills all other room. Headroom is kept in
+// proportion to their arrival rate, so that each starts immediately and nothing is preempted for
+// it.
 TEST_CASE("headroom follows the arrivals of prompt work", "[prompt]")
 {
     SmallCell cell(12, 2);
@@ -69,7 +70,7 @@
             late += task.workClass == WorkClass::Prompt ? 1 : 0;
     }
     CHECK(late == 0);
-    // With no more arrivals the room is given back.
+    // Without further arrivals the headroom is released.
     prompts.clear();
     cell.run(std::chrono::minutes(2));
     CHECK(cell.scheduler.statistics().headroomTargets == 0);
@@ -87,9 +88,9 @@
     CHECK_FALSE(internal::cheapestSet(victims, room(7000)).sufficient);
 }
 
-// Declared sizes are a quarter of the truth. The target is used beyond its processors: batch work
-// is slowed down first and only then ended.
-TEST_CASE("a target used beyond what it has is relieved by throttle before checkpoint", "[prompt]")
+// Tasks use three times the processors they declared, which exceeds the target's capacity. A batch
+// task must be throttled first, and checkpointed only if that does not help.
+TEST_CASE("a task on an overused target is throttled before it is checkpointed", "[prompt]")
 {
     SmallCell cell(1, 1);
     cell.submit(1, WorkClass::Batch, 2000);
@@ -104,7 +105,7 @@
     const auto first = cell.run(std::chrono::milliseconds(100));
     REQUIRE(first.size() == 1);
     CHECK(first.front().kind == DecisionKind::Throttle);
-    report(); // slowed down, it still uses too much
+    report(); // the target is still overused after the throttle
     const auto last = cell.run(std::chrono::milliseconds(100));
     REQUIRE(countOf(last, DecisionKind::Checkpoint) == 1);
     CHECK(last.front().task == first.front().task);
--- a/test/decisions/queuetest.cpp
+++ b/test/decisions/queuetest.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// A caller asks for more than any worker has. It must be told now, not after its patience.
-TEST_CASE("a job that no announced target can hold is told so at submission", "[queues]")
+// A request exceeds the size of every target. It must be refused immediately, not after a timeout.
+TEST_CASE("a job that fits on no announced target is refused at submission", "[queues]")
 {
     SmallCell cell(3, 1);
     CHECK(refusal(cell, cell.task(1, WorkClass::Batch, 9000)) == ErrorCode::NeverFits);
@@ -31,9 +31,9 @@
     CHECK(refusal(cell, cell.task(1, WorkClass::Batch, 4000)) == ErrorCode::LimitExceeded);
 }
 
-// The only target that is large enough goes away while a job waits for it. The job waits, and
-// everything behind it goes on.
-TEST_CASE("a job that can not be placed holds nobody up", "[queues]")
+// The only target that is large enough is lost while a job waits for it. The job keeps waiting, and
+// the tasks submitted after it are placed.
+TEST_CASE("a job that cannot be placed does not block others", "[queues]")
 {
     SmallCell cell(2, 1);
     TargetInfo large;
@@ -52,8 +52,8 @@
     CHECK(cell.reasonOf(huge) == Reason::NotOnFleet);
 }
 
-// A job's 100,000 tasks are cancelled at once while the cell is full of its others.
-TEST_CASE("a wave of cancellations leaves nothing behind", "[queues]")
+// 100,000 tasks are cancelled at once, of which 32 are running and fill the cell.
+TEST_CASE("cancelling many tasks at once leaves nothing waiting or placed", "[queues]")
 {
     SmallCell cell(4, 1);
     std::vector<TaskId> tasks;
@@ -67,7 +67,7 @@
         waited += cell.checked.cancel(task, cell.now) ? 1 : 0;
     CHECK(waited == tasks.size() - 32);
     CHECK(cell.scheduler.statistics().of(WorkClass::Batch).waiting == 0);
-    // What runs stays counted until it is told to be over.
+    // Running tasks stay counted until their end is reported.
     CHECK(cell.scheduler.statistics().of(WorkClass::Batch).running == 32);
     const auto placed = cell.checked.placed;
     for (const auto &[task, place] : placed)
@@ -76,9 +76,9 @@
     CHECK(cell.decide().empty());
 }
 
-// The queue is far longer than a caller's deadline. To let it wait and refuse it at the end would
-// cost the caller the time in which it could have gone elsewhere.
-TEST_CASE("what can not start by its deadline is refused at once with when to come back",
+// The queue is far longer than the caller's deadline. Refusing the task only at the deadline would
+// cost the caller the time to go elsewhere.
+TEST_CASE("a task that cannot start by its deadline is refused at once with a retry time",
           "[queues]")
 {
     SmallCell cell(1, 1);
@@ -90,7 +90,7 @@
             cell.end(cell.checked.placed.begin()->first);
     });
     TaskRequest request = cell.task(1, WorkClass::Batch, 8000);
-    request.startBy = cell.now + std::chrono::seconds(1); // the queue lasts ten
+    request.startBy = cell.now + std::chrono::seconds(1); // the queue takes about ten
     const Result<void> result = cell.scheduler.submit(request, cell.now);
     REQUIRE(result.has_error());
     CHECK(result.error().code == ErrorCode::DeadlineExceeded);
@@ -100,7 +100,7 @@
     CHECK_FALSE(cell.scheduler.submit(request, cell.now).has_error());
 }
 
-TEST_CASE("what has not started by its deadline is refused and has not run", "[queues]")
+TEST_CASE("a task that has not started by its deadline is refused without having run", "[queues]")
 {
     SmallCell cell(1, 1);
     cell.submit(1, WorkClass::Service, 8000);
@@ -116,7 +116,7 @@
     CHECK(cell.scheduler.explain(request.id).state == Explanation::State::Refused);
 }
 
-// A service's tasks must not all go down with one failure domain or rack.
+// The failure of one failure domain or rack must not take down all tasks of a service.
 TEST_CASE("a service is spread over failure domains and racks", "[queues]")
 {
     SmallCell cell(6, 1);
@@ -136,9 +136,9 @@
     CHECK(targets.size() == 6);
 }
 
-// Declared sizes are four times what is used. Once that has been seen, the same work is packed by
-// what it needs; its slots stay as declared.
-TEST_CASE("sizes are corrected by what was measured", "[queues]")
+// Declared sizes are four times the measured use. After enough measurements the same work must be
+// packed by its actual use, while its slots stay as declared.
+TEST_CASE("declared sizes are corrected by measured use", "[queues]")
 {
     SmallCell cell(2, 1);
     const auto placeAndReport = [&cell] {
@@ -159,9 +159,9 @@
     CHECK(cell.checked.violation.empty());
 }
 
-// The controller dies. The next one rebuilds from what is replicated, and must neither start a
-// task twice nor take a limit or a target for emptier than it is.
-TEST_CASE("a new controller counts what its predecessor placed", "[queues]")
+// A new controller rebuilds the scheduler from replicated state after the previous one has crashed.
+// It must not start a task twice, nor underestimate what a team or a target already uses.
+TEST_CASE("a new controller accounts for tasks that its predecessor placed", "[queues]")
 {
     SmallCell cell(0, 1);
     cell.policy.teams[0].limit[ResourceKind::MilliCores] = 6000;
@@ -178,7 +178,7 @@
     CHECK(cell.decide().size() == 1);
 }
 
-TEST_CASE("explain says in words why a task waits or where it is", "[queues]")
+TEST_CASE("explain describes why a task waits or where it is placed", "[queues]")
 {
     SmallCell cell(1, 1);
     const TaskId first = cell.submit(1, WorkClass::Batch, 8000);
--- a/test/decisions/sharestest.cpp
+++ b/test/decisions/sharestest.cpp
@@ -5,8 +5,8 @@
 using namespace guavavalve;
 using namespace guavavalve::testing;
 
-// Two teams fill the cell and each always has more waiting. As tasks end, each must hold its part
-// by weight, whoever came first.
+// Two teams compete for a full cell. As tasks end, each team must reach the share given by its
+// weight, regardless of which one submitted first.
 TEST_CASE("a full cell is shared by weight", "[shares]")
 {
     SmallCell cell(8, 2);
@@ -26,9 +26,9 @@
     CHECK(cell.checked.violation.empty());
 }
 
-// A team alone takes the whole cell. When the owner of the other half comes back with work, it
-// must not wait until the long tasks of the first end by themselves.
-TEST_CASE("an unused share is lent and taken back", "[shares]")
+// One team uses the whole cell while the other is idle. When the other submits work, it must get
+// its half back without waiting for the first team's long tasks to end.
+TEST_CASE("an unused share is lent and reclaimed", "[shares]")
 {
     SmallCell cell(8, 2);
     for (int i = 0; i < 64; ++i)
@@ -41,14 +41,14 @@
     CHECK(cell.share(2) >= 0.45);
     CHECK(cell.share(1) >= 0.45);
     CHECK(countOf(decisions, DecisionKind::Checkpoint) >= 28);
-    // Taken back once, not to and fro.
+    // The share is reclaimed once; the teams do not preempt each other repeatedly.
     CHECK(countOf(decisions, DecisionKind::Checkpoint) <= 40);
     CHECK(cell.checked.violation.empty());
 }
 
-// A change of configuration lowers a team's limit below what it runs. Nothing more may start, and
-// what is over the limit has to end, no more than that.
-TEST_CASE("a limit lowered below what runs ends the excess and starts nothing", "[limits]")
+// A configuration change lowers a team's limit below its current use. No further task may start,
+// and only as many tasks are preempted as exceed the limit.
+TEST_CASE("a limit lowered below current use preempts the excess and starts nothing", "[limits]")
 {
     SmallCell cell(8, 1);
     for (int i = 0; i < 40; ++i)
@@ -65,8 +65,8 @@
     CHECK(cell.checked.violation.empty());
 }
 
-// A job that is not repeatable must not be ended to make room, or its confirmation could be lost.
-TEST_CASE("work that is not repeatable is never ended to make room", "[limits]")
+// A task that is not repeatable must not be preempted, because its confirmation could be lost.
+TEST_CASE("work that is not repeatable is never preempted", "[limits]")
 {
     SmallCell cell(4, 1);
     TaskRequest request = cell.task(1, WorkClass::Batch, 4000);
--- a/test/decisions/starvationtest.cpp
+++ b/test/decisions/starvationtest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Every team always has tasks of every class and of small and large sizes waiting.
+/// Keeps small and large tasks of every class waiting for every team.
 class Overload
 {
 public:
@@ -78,9 +78,9 @@
         for (const auto &[id, place] : placed) {
             this->started.insert({place.request.team, place.request.workClass});
             this->everStarted.insert(id);
-            this->waitingSince.erase(id); // ended to make room, it waits anew
+            this->waitingSince.erase(id); // a preempted task starts a new wait
             if (this->random() % 200 == 0)
-                this->cell.end(id); // after two seconds on the average
+                this->cell.end(id); // on average after two seconds
         }
     }
 
@@ -99,8 +99,8 @@
 
 } // namespace
 
-// Every team hands in more of every class than the cell holds, small and large, for twenty
-// minutes. Nobody's work may wait for ever, whatever others do.
+// For twenty minutes every team submits more small and large tasks of every class than the cell can
+// hold. No task may wait indefinitely, whatever the other teams submit.
 TEST_CASE("no team and no class starves under overload", "[property]")
 {
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
@@ -110,8 +110,8 @@
         CHECK(overload.started.size() == 12);
         const Microseconds first = overload.longestWait();
         overload.run(std::chrono::minutes(10));
-        INFO("longest waits " << first.count() << " and " << overload.longestWait().count()
-                              << " us, now " << overload.describeOldest());
+        INFO("longest waits are " << first.count() << " and " << overload.longestWait().count()
+                                  << " us, now " << overload.describeOldest());
         CHECK(overload.longestWait() < std::chrono::minutes(6));
         CHECK(overload.cell.checked.violation.empty());
     }
