--- a/src/decisions/fleet.cpp
+++ b/src/decisions/fleet.cpp
@@ -253,20 +253,20 @@
         + rackWeight * spread->inRack(target.info.rack);
 }
 
-void Fleet::scan(const TargetSearch &search, Bucket &bucket, std::size_t most, double &best,
+void Fleet::scan(const TargetSearch &search, Bucket &bucket, std::size_t maxScored, double &best,
                  TargetFound &found)
 {
     const std::size_t size = bucket.members.size();
-    const std::size_t looks = std::min(size, maxMembersScanned);
-    std::size_t weighed = 0;
+    const std::size_t examined = std::min(size, maxMembersScanned);
+    std::size_t scored = 0;
     Resources largest;
-    for (std::size_t look = 0; look < looks && weighed < most; ++look) {
+    for (std::size_t look = 0; look < examined && scored < maxScored; ++look) {
         const Member &member = bucket.members[(this->scanStart + look) % size];
         for (std::size_t kind = 0; kind < resourceKindCount; ++kind)
             largest.amounts[kind] = std::max(largest.amounts[kind], member.free.amounts[kind]);
         if (!search.need.fitsInto(member.free))
             continue;
-        ++weighed;
+        ++scored;
         ++found.considered;
         double score = this->score(search.need, member.free, member.suspicion);
         if (search.spread != nullptr)
@@ -278,7 +278,7 @@
     }
     // The bound only ever rises as members come and go. All members have just been examined, so it
     // can be made exact.
-    if (weighed == 0 && looks == size)
+    if (scored == 0 && examined == size)
         bucket.maxFree = largest;
 }
 
--- a/src/decisions/fleet.h
+++ b/src/decisions/fleet.h
@@ -118,7 +118,7 @@
     }
     void updateSizeClass(TargetRecord &target);
     void growLargest(const Resources &total);
-    void scan(const TargetSearch &search, Bucket &bucket, std::size_t most, double &best,
+    void scan(const TargetSearch &search, Bucket &bucket, std::size_t maxScored, double &best,
               TargetFound &found);
     double spreadPenalty(const Spread *spread, const TargetRecord &target) const;
 
--- a/src/decisions/headroom.cpp
+++ b/src/decisions/headroom.cpp
@@ -17,7 +17,7 @@
 /// Arrivals per second below which no headroom is kept.
 constexpr double minArrivalRate = 0.01;
 /// Fraction of a target that is reserved for prompt work; the rest is for other work.
-constexpr double heldFraction = 0.125;
+constexpr double reservedFraction = 0.125;
 constexpr Index maxTargetsScanned = 32;
 constexpr std::size_t minChangesPerUpdate = 2;
 constexpr std::size_t poolTargetsPerChange = 16;
@@ -77,11 +77,11 @@
     return capacity;
 }
 
-double Headroom::tasksToHold(const TargetRecord &target, const Resources &charge,
-                             double tasksPerTarget) const
+double Headroom::tasksToReserve(const TargetRecord &target, const Resources &charge,
+                                double tasksPerTarget) const
 {
     const double capacity = this->capacityOf(target, charge);
-    const double part = std::max(std::floor(capacity * heldFraction), 1.0);
+    const double part = std::max(std::floor(capacity * reservedFraction), 1.0);
     return std::clamp(tasksPerTarget, std::min(part, capacity), capacity);
 }
 
@@ -93,15 +93,16 @@
         return;
     const Resources charge = this->meanCharge();
     const double part = this->ledger.policy.of(WorkClass::Prompt).maxShare;
-    const auto most = static_cast<std::size_t>(
+    const auto maxTargets = static_cast<std::size_t>(
         part * static_cast<double>(this->ledger.fleet.nonDepartingTargets()));
     // If the default fraction is not enough over all targets allowed, more of each is reserved.
-    const double each = std::ceil(wanted / static_cast<double>(std::max<std::size_t>(most, 1)));
+    const double each =
+        std::ceil(wanted / static_cast<double>(std::max<std::size_t>(maxTargets, 1)));
     this->headroomByTarget.resize(this->ledger.fleet.limit());
     this->refreshPool(charge, each);
     std::size_t changes =
         std::min(minChangesPerUpdate + pool.size() / poolTargetsPerChange, maxChangesPerUpdate);
-    while (this->capacity < wanted && pool.size() < most && changes-- > 0) {
+    while (this->capacity < wanted && pool.size() < maxTargets && changes-- > 0) {
         const Index target = this->pickTarget(charge);
         if (target == noIndex)
             return;
@@ -158,7 +159,7 @@
 void Headroom::reserveOn(Index index, const Resources &charge, double tasksPerTarget)
 {
     const TargetRecord &target = this->ledger.fleet[index];
-    const double tasks = this->tasksToHold(target, charge, tasksPerTarget);
+    const double tasks = this->tasksToReserve(target, charge, tasksPerTarget);
     Resources wanted;
     for (std::size_t kind = 0; kind < resourceKindCount; ++kind)
         wanted.amounts[kind] = charge.amounts[kind] * static_cast<std::int64_t>(tasks);
--- a/src/decisions/headroom.h
+++ b/src/decisions/headroom.h
@@ -14,10 +14,10 @@
 /// Reserves capacity for prompt work on some targets, in proportion to its arrival rate. For an
 /// offered load of `a` tasks (arrivals per second times mean run time, Little's law), capacity for
 /// `a + 2.5 sqrt(a) + 1` tasks is reserved: square-root staffing (Halfin and Whitt, 1981). It is
-/// concentrated on part of the targets, because a little on each would leave no target whole for
-/// large tasks. On each of these targets only one eighth is reserved, unless that is not enough,
-/// so that other work can use the capacity that prompt work does not need (prompt tasks take many
-/// slots and few processors).
+/// concentrated on part of the targets, because a small reservation on every target would leave no
+/// target entirely free for large tasks. On each of these targets only one eighth is reserved,
+/// unless that is not enough, so that other work can use the capacity that prompt work does not
+/// need (prompt tasks take many slots and few processors).
 class Headroom
 {
 public:
@@ -46,8 +46,8 @@
     double wantedTasks(Instant now) const;
     double capacityOf(const TargetRecord &target, const Resources &charge) const;
     Index pickTarget(const Resources &charge);
-    double tasksToHold(const TargetRecord &target, const Resources &charge,
-                       double tasksPerTarget) const;
+    double tasksToReserve(const TargetRecord &target, const Resources &charge,
+                          double tasksPerTarget) const;
     void refreshPool(const Resources &charge, double tasksPerTarget);
     void reserveOn(Index target, const Resources &charge, double tasksPerTarget);
     void releaseTarget(Index target);
--- a/src/decisions/placer.cpp
+++ b/src/decisions/placer.cpp
@@ -109,14 +109,14 @@
     }
     // The freed room is soon taken again, so only prompt work and the queues of the teams furthest
     // below their share are woken.
-    const std::size_t most = minQueuesWoken + queuesWokenPerHint * this->hints.size();
-    if (fitting.size() > most) {
-        std::nth_element(fitting.begin(), fitting.begin() + static_cast<std::ptrdiff_t>(most),
+    const std::size_t maxWoken = minQueuesWoken + queuesWokenPerHint * this->hints.size();
+    if (fitting.size() > maxWoken) {
+        std::nth_element(fitting.begin(), fitting.begin() + static_cast<std::ptrdiff_t>(maxWoken),
                          fitting.end());
     }
     for (std::size_t i = 0; i < fitting.size(); ++i) {
         const Index index = fitting[i].second;
-        if (i < most || this->ledger.queues[index].key.workClass == WorkClass::Prompt)
+        if (i < maxWoken || this->ledger.queues[index].key.workClass == WorkClass::Prompt)
             this->ledger.makeReady(index, true);
         else
             this->skippedQueues.push_back(index);
@@ -239,15 +239,15 @@
 
 bool Placer::overClassShare(const WorkQueue &queue) const
 {
-    const double most = this->ledger.policy.of(queue.key.workClass).maxShare;
-    if (most >= 1.0)
+    const double shareLimit = this->ledger.policy.of(queue.key.workClass).maxShare;
+    if (shareLimit >= 1.0)
         return false;
     std::uint32_t othersWaiting = 0;
     for (const ClassStatistics &counts : this->ledger.classes)
         othersWaiting += counts.waiting;
     othersWaiting -= this->ledger.counts(queue.key.workClass).waiting;
     const Resources after = this->ledger.classPlaced(queue.key.workClass) + queue.charge;
-    return othersWaiting > 0 && after.dominantShare(this->ledger.fleet.total()) > most;
+    return othersWaiting > 0 && after.dominantShare(this->ledger.fleet.total()) > shareLimit;
 }
 
 TargetFound Placer::findAmongHints(const WorkQueue &queue, Instant now) const
--- a/src/decisions/placer.h
+++ b/src/decisions/placer.h
@@ -60,9 +60,12 @@
     Quarantine &quarantine;
     DecisionLog &log;
     std::vector<Hint> hints; ///< targets that gained room since the last run
-    std::vector<Index> skippedQueues; ///< blocked queues that fit a hint but were not woken
+    /// Blocked queues whose head fits a hinted target but that were not woken.
+    std::vector<Index> skippedQueues;
     Resources hintRoom; ///< largest free amount on any hint, by kind
-    std::vector<Index> plan; ///< targets of a gang's tasks; allocated in the fleet only
+    /// Targets chosen for a gang's tasks. The resources are allocated in the fleet while the gang
+    /// is being planned, but the tasks are not placed in the ledger yet.
+    std::vector<Index> plan;
     std::size_t headroomCursor = 0;
     std::size_t retryCursor = 0;
     std::size_t placedInRun = 0;
--- a/src/decisions/preemptor.cpp
+++ b/src/decisions/preemptor.cpp
@@ -241,7 +241,8 @@
         return;
     VictimSet set = cheapestSet(victims, excess);
     if (!set.sufficient) {
-        // Not enough tasks may be preempted, so all that may be are; the rest run to completion.
+        // Too few tasks are preemptible to reach the limit: preempt all of them and let the others
+        // run to completion.
         for (const Victim &victim : victims)
             set.tasks.push_back(victim.task);
     }
--- a/src/decisions/preemptor.h
+++ b/src/decisions/preemptor.h
@@ -52,7 +52,6 @@
         Reason reason = Reason::None;
     };
 
-    bool waitsTooLong(const WorkQueue &queue, Instant now) const;
     /// Room that is being freed on a target for one of a queue's heads.
     struct Claim
     {
@@ -60,6 +59,7 @@
         Resources room;
     };
 
+    bool waitsTooLong(const WorkQueue &queue, Instant now) const;
     void preemptFor(Index queue, Instant now, std::vector<Decision> &out);
     bool isPreemptible(const TaskRecord &task) const;
     bool isPreemptibleFor(const TaskRecord &task, const WorkQueue &queue) const;
--- a/src/decisions/quarantine.cpp
+++ b/src/decisions/quarantine.cpp
@@ -10,7 +10,7 @@
 /// Probability of a failure on a target that is considered to fail everything.
 constexpr double badTargetFailure = 0.95;
 /// Probability that a healthy target does not start a task, which is independent of the work.
-constexpr double soundTargetRefusal = 0.01;
+constexpr double healthyTargetRefusal = 0.01;
 /// Evidence at which a target is quarantined: odds of e^6, or about 400 to 1.
 constexpr double quarantineThreshold = 6.0;
 constexpr double maxEvidence = 20.0;
@@ -26,7 +26,7 @@
 double Quarantine::evidence(const TaskRecord &task, AttemptOutcome end) const
 {
     if (end == AttemptOutcome::NeverStarted)
-        return std::log(badTargetFailure / soundTargetRefusal);
+        return std::log(badTargetFailure / healthyTargetRefusal);
     const WorkProfile &profile = this->ledger.queues[task.queue].profile;
     const double chance = profile.failureChance();
     if (end == AttemptOutcome::Succeeded)
@@ -68,8 +68,9 @@
     // At most a configured fraction of the fleet is quarantined. When everything seems to fail, the
     // cause is more likely the work or the scheduler, and an empty fleet would run no work at all.
     const QuarantinePolicy &policy = this->ledger.policy.quarantine;
-    const double most = policy.maxFleetFraction * this->ledger.fleet.nonDepartingTargets();
-    if (static_cast<double>(this->members.size() + 1) > std::max(most, 1.0))
+    const double maxQuarantined =
+        policy.maxFleetFraction * this->ledger.fleet.nonDepartingTargets();
+    if (static_cast<double>(this->members.size() + 1) > std::max(maxQuarantined, 1.0))
         return;
     TargetRecord &target = this->ledger.fleet[index];
     target.quarantined = true;
--- a/src/decisions/reservations.cpp
+++ b/src/decisions/reservations.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Targets scanned to make one reservation: bounds the time of a decision on a large fleet.
+/// To make one reservation, a few targets per task are scanned, but at least and at most these
+/// numbers. The maximum bounds the time of a decision on a large fleet.
 constexpr Index minTargetsScanned = 512;
 constexpr Index maxTargetsScanned = 4096;
 constexpr Index targetsScannedPerTask = 4;
@@ -81,11 +82,11 @@
 {
     const double mean = this->meanRank();
     Index best = noIndex;
-    double most = 0.0;
+    double highest = 0.0;
     for (const Index index : this->ledger.blocked) {
         const double urgent = this->urgency(this->ledger.queues[index], mean, now);
-        if (urgent > most) {
-            most = urgent;
+        if (urgent > highest) {
+            highest = urgent;
             best = index;
         }
     }
@@ -106,9 +107,9 @@
         if (queue.count == 0 || now - dueAt > preemptionDelay / replanDelayDivisor)
             this->drop(reservation);
     }
-    const std::size_t most = std::clamp<std::size_t>(
+    const std::size_t maxActive = std::clamp<std::size_t>(
         this->ledger.fleet.nonDepartingTargets() / targetsPerReservation, 1, maxReservations);
-    if (this->active >= most)
+    if (this->active >= maxActive)
         return;
     const Index queue = this->mostUrgent(now);
     if (queue == noIndex)
--- a/src/decisions/shares.cpp
+++ b/src/decisions/shares.cpp
@@ -14,8 +14,8 @@
 {
     double share = 0.0; ///< dominant share of all that it has placed and waiting
     double weight = 1.0;
-    std::array<double, resourceKindCount>
-        mixture{}; ///< fraction of the fleet per unit of share, by kind
+    /// Fraction of the fleet per unit of share, by kind of resource.
+    std::array<double, resourceKindCount> mixture{};
 };
 
 double fraction(std::int64_t amount, std::int64_t total)
--- a/src/decisions/targetrecord.h
+++ b/src/decisions/targetrecord.h
@@ -63,9 +63,9 @@
     {
         Resources left = this->free();
         for (std::size_t kind = 0; kind < resourceKindCount; ++kind) {
-            const std::int64_t held =
+            const std::int64_t unused =
                 this->headroom.amounts[kind] - this->promptPlaced.amounts[kind];
-            left.amounts[kind] -= held > 0 ? held : 0;
+            left.amounts[kind] -= unused > 0 ? unused : 0;
         }
         return left;
     }
--- a/src/decisions/workqueue.h
+++ b/src/decisions/workqueue.h
@@ -48,7 +48,7 @@
     std::uint32_t references = 0; ///< tasks, waiting or placed
     Index statePosition = 0; ///< in the list of its state
     QueueState state = QueueState::Idle;
-    bool hintsOnly = false; ///< only targets that freed room are to be considered
+    bool hintsOnly = false; ///< consider only targets that recently freed room (hints)
     Reason reason = Reason::None; ///< why its head waits
     std::uint32_t considered = 0; ///< targets scored when it was last examined
     Instant decidedAt{};
--- a/test/decisions/queuetest.cpp
+++ b/test/decisions/queuetest.cpp
@@ -67,7 +67,7 @@
         waited += cell.checked.cancel(task, cell.now) ? 1 : 0;
     CHECK(waited == tasks.size() - 32);
     CHECK(cell.scheduler.statistics().of(WorkClass::Batch).waiting == 0);
-    // Running tasks stay counted until their end is reported.
+    // Running tasks are accounted for until their end is reported.
     CHECK(cell.scheduler.statistics().of(WorkClass::Batch).running == 32);
     const auto placed = cell.checked.placed;
     for (const auto &[task, place] : placed)
--- a/test/decisions/starvationtest.cpp
+++ b/test/decisions/starvationtest.cpp
@@ -80,7 +80,7 @@
             this->everStarted.insert(id);
             this->waitingSince.erase(id); // a preempted task starts a new wait
             if (this->random() % 200 == 0)
-                this->cell.end(id); // on average after two seconds
+                this->cell.end(id); // tasks run for two seconds on average
         }
     }
 
