--- a/bench/decisions/main.cpp
+++ b/bench/decisions/main.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0.0;
     std::sort(values.begin(), values.end());
-    const auto index = static_cast<std::size_t>(part * static_cast<double>(values.size()));
+    const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
     return values[std::min(index, values.size() - 1)];
 }
 
@@ -59,7 +59,7 @@
     printRow(cell, "first-fit", settings, Trial(firstFit, cell, settings).run());
 }
 
-/// Both deployments at their real size, beside the baseline on the same events.
+/// Compares both deployments at their actual size with the baseline on the same events.
 void compareSmall(bool quick)
 {
     for (const bool faults : {false, true}) {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Long enough for shares to settle after the cell has filled: a task runs for a minute.
+/// Runs long enough for shares to settle after the cell has filled: a task runs for about a minute.
 void measureShares(std::uint32_t targets)
 {
     const Deployment smaller = largeFleet(targets, 350);
@@ -90,7 +90,8 @@
     printRow(smaller, "fair", settings, Trial(fair, smaller, settings).run());
 }
 
-/// The size to design for. The baseline looks at every target for every task, so it is cut short.
+/// Runs the design size. The baseline examines every target for every task, so its trial is cut
+/// short.
 void compareLarge(const std::vector<double> &loads)
 {
     const Deployment cell = largeFleet(34000, 350);
@@ -113,10 +114,10 @@
     printRow(cell, "first-fit", settings, Trial(firstFit, cell, settings).run());
 }
 
-constexpr double promptStretch = 40.0;
+constexpr double promptRunTimeFactor = 40.0;
 
-/// Records a short trial of a deployment at its real size, with targets that fail everything and
-/// wrong sizes, and states what replaying it must show.
+/// Records a short trial of a deployment at its actual size, with wrong sizes and targets that fail
+/// every task, and the outcomes that a replay must reach.
 int writeTrace(Deployment cell, const std::string &path, double packing, double shareError,
                double promptWaitMs)
 {
@@ -131,7 +132,7 @@
     recorder.expectAtLeast("quarantined", 1);
     // Fewer and longer prompt tasks, so that the trace stays small.
     for (WorkKind &kind : cell.kinds)
-        kind.runSeconds *= kind.workClass == WorkClass::Prompt ? promptStretch : 1.0;
+        kind.runSeconds *= kind.workClass == WorkClass::Prompt ? promptRunTimeFactor : 1.0;
     TrialSettings settings;
     settings.load = 1.2;
     settings.seconds = cell.name == "brandvold" ? 40 : 20;
--- a/bench/decisions/measures.cpp
+++ b/bench/decisions/measures.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::uint32_t submittedAShard = 8;
+constexpr std::uint32_t submissionsPerShard = 8;
 constexpr Instant start{std::chrono::seconds(1000)};
 
 double threadSeconds()
@@ -57,9 +57,9 @@
         std::fprintf(stderr, "decisionsbench: a submission was refused\n");
 }
 
-/// Microseconds of processor time for one end, one submission and the decision that follows, in a
-/// full cell with about \a queued tasks waiting.
-double costOfTurn(std::uint32_t targets, std::uint64_t queued, int turns)
+/// CPU time in microseconds of one task end, one submission and the following decide() in a full
+/// cell with about \a queued waiting tasks.
+double measureTurnMicroseconds(std::uint32_t targets, std::uint64_t queued, int turns)
 {
     Deployment cell = largeFleet(targets, 350);
     for (TeamPolicy &team : cell.policy.teams)
@@ -96,37 +96,38 @@
 {
     ShardedScheduler &scheduler;
     const Deployment &cell;
-    std::uint32_t first = 0; ///< of the shards that the thread decides in
+    std::uint32_t first = 0; ///< first shard of the thread; the others follow in steps of `step`
     std::uint32_t step = 1;
     std::uint64_t firstId = 0;
     std::uint64_t placements = 0;
     double processorSeconds = 0.0;
 };
 
-/// Submits, decides and ends for a bounded time in the shards of one thread, which is given the
-/// jobs of these.
-void work(ThreadWork &mine, std::chrono::steady_clock::time_point until)
+/// Submits, places and ends tasks in the shards of one thread until \a until. The thread submits
+/// only jobs whose home is one of its shards.
+void runThread(ThreadWork &threadWork, std::chrono::steady_clock::time_point until)
 {
-    std::uint64_t nextId = mine.firstId;
+    std::uint64_t nextId = threadWork.firstId;
     Instant now = start;
-    const std::uint32_t shardsEach = mine.scheduler.shardCount() / mine.step;
+    const std::uint32_t shardsEach = threadWork.scheduler.shardCount() / threadWork.step;
     std::vector<Decision> decisions;
     while (std::chrono::steady_clock::now() < until) {
         now += Microseconds(1000);
-        for (std::uint32_t i = 0; i < submittedAShard * shardsEach; ++i) {
-            while (mine.scheduler.homeShard(JobId(nextId)) % mine.step != mine.first)
+        for (std::uint32_t i = 0; i < submissionsPerShard * shardsEach; ++i) {
+            while (threadWork.scheduler.homeShard(JobId(nextId)) % threadWork.step
+                   != threadWork.first)
                 ++nextId;
-            submit(mine.scheduler, batchTask(nextId++, mine.cell), now);
+            submit(threadWork.scheduler, batchTask(nextId++, threadWork.cell), now);
         }
         decisions.clear();
-        for (std::uint32_t shard = mine.first; shard < mine.scheduler.shardCount();
-             shard += mine.step)
-            mine.scheduler.decideShard(shard, now, decisions);
+        for (std::uint32_t shard = threadWork.first; shard < threadWork.scheduler.shardCount();
+             shard += threadWork.step)
+            threadWork.scheduler.decideShard(shard, now, decisions);
         for (const Decision &decision : decisions)
-            mine.scheduler.taskEnded(decision.task, AttemptOutcome::Succeeded, now);
-        mine.placements += decisions.size();
+            threadWork.scheduler.taskEnded(decision.task, AttemptOutcome::Succeeded, now);
+        threadWork.placements += decisions.size();
     }
-    mine.processorSeconds = threadSeconds();
+    threadWork.processorSeconds = threadSeconds();
 }
 
 } // namespace
@@ -134,17 +135,19 @@
 void measureGrowth(bool quick)
 {
     const int turns = quick ? 500 : 5000;
-    std::printf("\none end, one submission and a decision in a full cell, 350 teams\n");
-    std::printf("%10s %10s %12s\n", "targets", "queued", "us a turn");
+    std::printf(
+        "\none task end, one submission and one decision (a turn) in a full cell, 350 teams\n");
+    std::printf("%10s %10s %12s\n", "targets", "queued", "us/turn");
     for (const std::uint32_t targets : {1000U, 4000U, 16000U, 34000U}) {
         if (quick && targets > 4000)
             continue;
-        std::printf("%10u %10u %12.1f\n", targets, 10000U, costOfTurn(targets, 10000, turns));
+        std::printf("%10u %10u %12.1f\n", targets, 10000U,
+                    measureTurnMicroseconds(targets, 10000, turns));
         std::fflush(stdout);
     }
     for (const std::uint64_t queued : {3000U, 30000U, 300000U}) {
         std::printf("%10u %10llu %12.1f\n", 4000U, static_cast<unsigned long long>(queued),
-                    costOfTurn(4000, queued, turns));
+                    measureTurnMicroseconds(4000, queued, turns));
         std::fflush(stdout);
     }
 }
@@ -165,17 +168,17 @@
     for (std::uint64_t id = 1; id <= tasks; ++id)
         submit(scheduler, batchTask(id, cell), start);
     const std::size_t withTasks = bytesInUse();
-    std::printf(
-        "\nbytes: %zu a team, %zu a target, %zu a waiting task (its queue's part included)\n",
-        (withTeams - empty) / teams, (withTargets - withTeams) / targets,
-        (withTasks - withTargets) / tasks);
+    std::printf("\nbytes: %zu per team, %zu per target, %zu per waiting task (including its share "
+                "of the queue)\n",
+                (withTeams - empty) / teams, (withTargets - withTeams) / targets,
+                (withTasks - withTargets) / tasks);
 }
 
 void measureThreads(bool quick)
 {
     constexpr std::uint32_t shards = 64;
-    std::printf("\nplacements a second, %u shards of 125 targets, 350 teams\n", shards);
-    std::printf("%8s %16s %18s\n", "threads", "of wall time", "of processor time");
+    std::printf("\nplacements per second, %u shards of 125 targets, 350 teams\n", shards);
+    std::printf("%8s %16s %18s\n", "threads", "of wall time", "of CPU time");
     const Deployment cell = largeFleet(8000, 350);
     for (const std::uint32_t threads : {1U, 2U, 4U, 8U}) {
         ShardedScheduler scheduler(shards, [] { return std::make_unique<FairScheduler>(); });
@@ -188,15 +191,15 @@
             + std::chrono::milliseconds(static_cast<int>(seconds * 1e3));
         std::vector<std::thread> pool;
         pool.reserve(works.size());
-        for (ThreadWork &mine : works)
-            pool.emplace_back([&mine, until] { work(mine, until); });
+        for (ThreadWork &threadWork : works)
+            pool.emplace_back([&threadWork, until] { runThread(threadWork, until); });
         for (std::thread &thread : pool)
             thread.join();
         std::uint64_t sum = 0;
         double processor = 0.0;
-        for (const ThreadWork &mine : works) {
-            sum += mine.placements;
-            processor += mine.processorSeconds;
+        for (const ThreadWork &threadWork : works) {
+            sum += threadWork.placements;
+            processor += threadWork.processorSeconds;
         }
         std::printf("%8u %16.0f %18.0f\n", threads, static_cast<double>(sum) / seconds,
                     static_cast<double>(sum) / processor);
--- a/bench/decisions/trial.cpp
+++ b/bench/decisions/trial.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Microseconds sampleEvery = std::chrono::seconds(1);
-/// Usage reports reach the scheduler this long after the measurement.
+/// Delay between the measurement of usage and its report to the scheduler.
 constexpr Microseconds usageLag = std::chrono::seconds(2);
-/// A target that fails everything does so at once.
+/// Run time of a task on a failing target.
 constexpr Microseconds failureTime = std::chrono::milliseconds(20);
 constexpr Microseconds checkpointTime = std::chrono::milliseconds(500);
 
@@ -22,7 +22,7 @@
     return size;
 }
 
-/// Processor time of this thread: the machine is shared, and real time would measure the others.
+/// CPU time of this thread. Wall time would include the load of other processes on the machine.
 double threadSeconds()
 {
     timespec time{};
@@ -32,20 +32,21 @@
 
 } // namespace
 
-Trial::Trial(Scheduler &plan, const Deployment &cell, const TrialSettings &how)
-    : scheduler(plan)
+Trial::Trial(Scheduler &testedScheduler, const Deployment &cell, const TrialSettings &trialSettings)
+    : scheduler(testedScheduler)
     , deployment(cell)
-    , settings(how)
-    , random(how.seed)
+    , settings(trialSettings)
+    , random(trialSettings.seed)
 {
-    // The parts say how the kinds compare by their own dominant resource; the whole is scaled so
-    // that the busiest resource of the cell is offered the load asked for.
+    // The load fractions relate the kinds by their own dominant resources; all are scaled so that
+    // the busiest resource of the cell gets the requested load.
     std::array<double, resourceKindCount> offered{};
     for (const WorkKind &kind : cell.kinds) {
         const double perTask = kind.need.dominantShare(cell.total);
         for (std::size_t i = 0; i < resourceKindCount; ++i) {
             if (cell.total.amounts[i] > 0) {
-                offered[i] += kind.part / perTask * static_cast<double>(kind.need.amounts[i])
+                offered[i] += kind.loadFraction / perTask
+                    * static_cast<double>(kind.need.amounts[i])
                     / static_cast<double>(cell.total.amounts[i]);
             }
         }
@@ -53,12 +54,12 @@
     const double busiest = *std::max_element(offered.begin(), offered.end());
     for (const WorkKind &kind : cell.kinds) {
         const double demand = kind.need.dominantShare(cell.total) * kind.tasks * kind.runSeconds;
-        this->jobsPerTick.push_back(how.load / busiest * kind.part / demand
-                                    * std::chrono::duration<double>(how.tick).count());
+        this->jobsPerTick.push_back(trialSettings.load / busiest * kind.loadFraction / demand
+                                    * std::chrono::duration<double>(trialSettings.tick).count());
     }
     this->realUse.resize(cell.targets.size() + 1);
     for (const TargetInfo &target : cell.targets) {
-        if (this->uniform() < how.failingTargets)
+        if (this->uniform() < trialSettings.failingTargets)
             this->failing.insert(target.id);
     }
 }
@@ -82,7 +83,8 @@
     const WorkKind &kind = this->deployment.kinds[index];
     const auto team = static_cast<std::uint32_t>(
         this->uniform() * static_cast<double>(this->deployment.policy.teams.size()));
-    // Sizes are off by team and kind of work, as people are wrong; a quarter to four times.
+    // Declared sizes are wrong consistently for a team and kind of work, as people's estimates are:
+    // from a quarter to four times the actual size.
     const double errorSeed =
         static_cast<double>((team * 7919U + static_cast<std::uint32_t>(index) * 104729U) % 97U);
     const double error = this->settings.wrongSizes ? std::pow(4.0, errorSeed / 48.0 - 1.0) : 1.0;
@@ -107,7 +109,7 @@
             this->result.refused += this->measuring ? 1 : 0;
             continue;
         }
-        Running &task = this->tasks[request.id];
+        SimulatedTask &task = this->tasks[request.id];
         task.request = request;
         task.real = scaledSize(kind.need, 0.9 + 0.2 * this->uniform());
         if (!this->settings.wrongSizes)
@@ -117,7 +119,7 @@
     }
 }
 
-void Trial::arrivals()
+void Trial::submitArrivals()
 {
     for (std::size_t kind = 0; kind < this->jobsPerTick.size(); ++kind) {
         const std::uint32_t jobs = this->poisson(this->jobsPerTick[kind]);
@@ -126,16 +128,16 @@
     }
 }
 
-void Trial::ends()
+void Trial::endAttempts()
 {
     while (!this->timeline.empty() && this->timeline.top().at <= this->now) {
-        const Timed timed = this->timeline.top();
+        const TimedEvent timed = this->timeline.top();
         this->timeline.pop();
         const auto item = this->tasks.find(timed.task);
         if (item == this->tasks.end() || item->second.attempt != timed.attempt
             || item->second.target == TargetId::None)
             continue;
-        Running &task = item->second;
+        SimulatedTask &task = item->second;
         const bool fails = this->failing.count(task.target) != 0;
         const bool done = !fails && task.placedAt + task.runTime <= this->now;
         this->realUse[idValue(task.target)] -= task.real;
@@ -147,17 +149,17 @@
             this->tasks.erase(item);
             continue;
         }
-        // A failed task is tried again; one that was saved or stopped goes on later.
+        // A failed task is retried; one that was checkpointed or stopped continues later.
         this->result.failed += fails && this->measuring ? 1 : 0;
         const AttemptOutcome end = fails ? AttemptOutcome::Failed : AttemptOutcome::Stopped;
         this->timed([&] { this->scheduler.requeue(timed.task, end, this->now); });
     }
 }
 
-void Trial::usage()
+void Trial::reportUsage()
 {
     while (!this->reports.empty() && this->reports.top().at <= this->now) {
-        const Timed timed = this->reports.top();
+        const TimedEvent timed = this->reports.top();
         this->reports.pop();
         const auto item = this->tasks.find(timed.task);
         if (item == this->tasks.end() || item->second.attempt != timed.attempt
@@ -180,15 +182,15 @@
         this->result.decideMs.push_back(spent * 1e3);
     }
     for (const Decision &decision : decisions)
-        this->follow(decision);
+        this->execute(decision);
 }
 
-void Trial::follow(const Decision &decision)
+void Trial::execute(const Decision &decision)
 {
     const auto item = this->tasks.find(decision.task);
     if (item == this->tasks.end())
         return;
-    Running &task = item->second;
+    SimulatedTask &task = item->second;
     switch (decision.kind) {
     case DecisionKind::Place: {
         task.target = decision.target;
@@ -196,10 +198,10 @@
         ++task.attempt;
         this->realUse[idValue(task.target)] += task.real;
         const bool fails = this->failing.count(task.target) != 0;
-        this->timeline.push(
-            Timed{this->now + (fails ? failureTime : task.runTime), decision.task, task.attempt});
+        this->timeline.push(TimedEvent{this->now + (fails ? failureTime : task.runTime),
+                                       decision.task, task.attempt});
         if (task.runTime > usageLag * 2) {
-            this->reports.push(Timed{this->now + usageLag * 2, decision.task, task.attempt});
+            this->reports.push(TimedEvent{this->now + usageLag * 2, decision.task, task.attempt});
         }
         if (!this->measuring)
             return;
@@ -212,10 +214,10 @@
     }
     case DecisionKind::Checkpoint:
     case DecisionKind::Stop:
-        // The work done so far is kept, what is left runs later.
+        // The work done so far is kept; the rest runs later, with the cost of the checkpoint.
         task.runTime -= std::min(task.runTime, this->now - task.placedAt);
         task.runTime += checkpointTime * 2;
-        this->timeline.push(Timed{this->now + checkpointTime, decision.task, task.attempt});
+        this->timeline.push(TimedEvent{this->now + checkpointTime, decision.task, task.attempt});
         return;
     case DecisionKind::Refuse:
         this->result.refused += this->measuring ? 1 : 0;
@@ -234,7 +236,7 @@
         waitingTasks += counts.waiting;
     ++this->samples;
     std::size_t over = 0;
-    Resources useful; // what is used beyond what a target has is no gain
+    Resources useful; // use beyond a target's capacity does not count
     for (const TargetInfo &target : this->deployment.targets) {
         const Resources &used = this->realUse[idValue(target.id)];
         over += used.fitsInto(target.total) ? 0 : 1;
@@ -272,14 +274,14 @@
     while (this->now < end) {
         this->now += this->settings.tick;
         this->measuring = this->now - this->start >= seconds(this->settings.warmUpSeconds);
-        const std::uint64_t before = this->nextId;
-        const std::size_t timedBefore = this->timeline.size() + this->reports.size();
-        this->arrivals();
-        this->ends();
-        this->usage();
-        const bool any =
-            before != this->nextId || timedBefore != this->timeline.size() + this->reports.size();
-        if (any || this->scheduler.nextWakeup() <= this->now)
+        const std::uint64_t idBefore = this->nextId;
+        const std::size_t eventsBefore = this->timeline.size() + this->reports.size();
+        this->submitArrivals();
+        this->endAttempts();
+        this->reportUsage();
+        const bool hasEvents = idBefore != this->nextId
+            || eventsBefore != this->timeline.size() + this->reports.size();
+        if (hasEvents || this->scheduler.nextWakeup() <= this->now)
             this->decide();
         if (this->now >= nextSample) {
             nextSample += sampleEvery;
--- a/bench/decisions/trial.h
+++ b/bench/decisions/trial.h
@@ -12,41 +12,44 @@
 
 namespace guavavalve::bench {
 
-/// What is done to a cell in one trial.
+/// Parameters of one trial.
 struct TrialSettings
 {
-    double load = 0.9; ///< offered, by what is really needed, against the cell's busiest resource
-    double seconds = 120; ///< of the scheduler's time
-    double warmUpSeconds = 40; ///< at the start, not measured
+    /// Offered load, by the actual needs, relative to the cell's busiest resource.
+    double load = 0.9;
+    double seconds = 120; ///< simulated time
+    double warmUpSeconds = 40; ///< simulated time at the start that is not measured
     double wallSeconds = 30; ///< the trial ends early after this much real time
-    bool wrongSizes = false; ///< sizes and run times declared are off by up to a factor of four
-    double failingTargets = 0.0; ///< part of the targets that fail everything at once
+    bool wrongSizes = false; ///< declared sizes and run times are off by up to a factor of four
+    double failingTargets = 0.0; ///< fraction of the targets that fail every task immediately
     std::uint32_t seed = 1;
-    Microseconds tick{1000}; ///< events of one tick are told together, then decided about
+    Microseconds tick{1000}; ///< events within a tick are reported together before decide()
 };
 
-/// What was measured in one trial.
+/// Measurements of one trial.
 struct TrialResult
 {
     double simulatedSeconds = 0.0;
     std::uint64_t placed = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0; ///< attempts that ended on a failing target
-    double schedulerSeconds = 0.0; ///< processor time in all calls of the scheduler
-    std::vector<double> decideMs; ///< processor time of each decide() that had something to do
-    std::vector<double> promptWaitMs; ///< the scheduler's time from submission to placement
-    double packing = 0.0; ///< mean part in real use of the busiest resource, while work waits
-    double shareError = 0.0; ///< mean over teams and time of |share - due| / due, while work waits
+    double schedulerSeconds = 0.0; ///< CPU time of all calls of the scheduler
+    std::vector<double> decideMs; ///< CPU time of each decide(); idle ticks skip it
+    std::vector<double> promptWaitMs; ///< simulated time from submission to placement
+    /// Mean fraction of the busiest resource in actual use, while work waits.
+    double packing = 0.0;
+    /// Mean over teams and time of |share - fair share| / fair share, while work waits.
+    double shareError = 0.0;
     double shareErrorMax = 0.0; ///< of the worst team, mean over time
-    double overused = 0.0; ///< part of the targets on which real use is more than there is
+    double overused = 0.0; ///< fraction of the targets whose actual use exceeds their capacity
     std::uint32_t running = 0; ///< at the end
     std::uint32_t waiting = 0;
     std::uint32_t quarantined = 0;
     std::uint64_t preempted = 0;
 };
 
-/// Plays one deployment's work against a scheduler in ticks. The same seed gives
-/// the same arrivals whatever the scheduler decides.
+/// Simulates the work of one deployment on a scheduler in ticks. The same seed gives the same
+/// arrivals whatever the scheduler decides.
 class Trial
 {
 public:
@@ -55,7 +58,7 @@
     TrialResult run();
 
 private:
-    struct Running
+    struct SimulatedTask
     {
         TaskRequest request;
         Resources real;
@@ -65,27 +68,27 @@
         TargetId target = TargetId::None;
         std::uint32_t attempt = 0;
     };
-    struct Timed
+    struct TimedEvent
     {
         Instant at{};
         TaskId task = TaskId::None;
         std::uint32_t attempt = 0;
 
-        friend bool operator>(const Timed &a, const Timed &b)
+        friend bool operator>(const TimedEvent &a, const TimedEvent &b)
         {
             return a.at > b.at || (a.at == b.at && a.task > b.task);
         }
     };
-    using Timeline = std::priority_queue<Timed, std::vector<Timed>, std::greater<>>;
+    using Timeline = std::priority_queue<TimedEvent, std::vector<TimedEvent>, std::greater<>>;
 
     template<typename Call>
     void timed(Call &&call);
-    void arrivals();
+    void submitArrivals();
     void submitJob(std::size_t kind);
-    void ends();
-    void usage();
+    void endAttempts();
+    void reportUsage();
     void decide();
-    void follow(const Decision &decision);
+    void execute(const Decision &decision);
     void sample();
     double uniform() { return std::uniform_real_distribution<double>(0.0, 1.0)(this->random); }
     std::uint32_t poisson(double mean);
@@ -98,7 +101,7 @@
     Instant start = this->now;
     std::uint64_t nextId = 1;
     std::vector<double> jobsPerTick;
-    std::unordered_map<TaskId, Running> tasks;
+    std::unordered_map<TaskId, SimulatedTask> tasks;
     std::unordered_set<TargetId> failing;
     Timeline timeline;
     Timeline reports;
--- a/bench/decisions/workload.cpp
+++ b/bench/decisions/workload.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-/// Weights one to three in turn; every tenth team has an upper limit.
+/// Weights rotate from one to three; every tenth team has an upper limit.
 void addTeams(Deployment &deployment, std::uint32_t teams)
 {
     for (std::uint32_t i = 0; i < teams; ++i) {
@@ -40,8 +40,8 @@
     }
 }
 
-Resources room(std::int64_t cores, std::int64_t gigabytes, std::int64_t accelerators,
-               std::int64_t slots, std::int64_t connections)
+Resources makeResources(std::int64_t cores, std::int64_t gigabytes, std::int64_t accelerators,
+                        std::int64_t slots, std::int64_t connections)
 {
     return Resources{{cores * 1000, gigabytes * 1000, accelerators, slots, connections}};
 }
@@ -52,7 +52,7 @@
 {
     Deployment cell;
     cell.name = "brandvold";
-    addTargets(cell, Layout{48, 3, 8}, {room(16, 32, 0, 8, 64)});
+    addTargets(cell, Layout{48, 3, 8}, {makeResources(16, 32, 0, 8, 64)});
     addTeams(cell, 6);
     cell.kinds = {
         {WorkClass::Prompt, Resources{{500, 500, 0, 1, 2}}, 1, 0.1, 0.10}, // status checks
@@ -69,7 +69,7 @@
 {
     Deployment cell;
     cell.name = "cwm-meryw";
-    addTargets(cell, Layout{48, 4, 6}, {room(32, 128, 0, 8, 64)});
+    addTargets(cell, Layout{48, 4, 6}, {makeResources(32, 128, 0, 8, 64)});
     addTeams(cell, 6);
     cell.kinds = {
         {WorkClass::Prompt, Resources{{1000, 2000, 0, 1, 4}}, 1, 0.05, 0.30}, // confirmations
@@ -85,8 +85,8 @@
 {
     Deployment cell;
     cell.name = "large-" + std::to_string(targets);
-    const Resources plain = room(32, 128, 0, 16, 256);
-    const Resources accelerated = room(64, 256, 8, 16, 256);
+    const Resources plain = makeResources(32, 128, 0, 16, 256);
+    const Resources accelerated = makeResources(64, 256, 8, 16, 256);
     addTargets(cell, Layout{targets, 9, 40}, {plain, plain, accelerated, plain});
     addTeams(cell, teams);
     cell.kinds = {
--- a/bench/decisions/workload.h
+++ b/bench/decisions/workload.h
@@ -11,17 +11,17 @@
 
 namespace guavavalve::bench {
 
-/// One kind of work that callers hand in.
+/// One kind of work that callers submit.
 struct WorkKind
 {
     WorkClass workClass = WorkClass::Batch;
-    Resources need; ///< what its tasks really need
-    std::uint32_t tasks = 1; ///< of a job
-    double runSeconds = 1.0; ///< mean of the real run time
-    double part = 0.0; ///< of the offered load
+    Resources need; ///< actual need of a task
+    std::uint32_t tasks = 1; ///< tasks of a job
+    double runSeconds = 1.0; ///< mean of the actual run time
+    double loadFraction = 0.0; ///< fraction of the offered load
 };
 
-/// A cell with its teams and the work they hand in.
+/// A cell with its teams and the work they submit.
 struct Deployment
 {
     std::string name;
@@ -37,8 +37,8 @@
 /// Four failure domains, 48 targets of 32 cores and 128 GB, 6 to a rack, six teams.
 Deployment cwmMeryw();
 
-/// The size to design for: \a targets in nine failure domains, two accelerators a target on the
-/// average, and \a teams teams.
+/// The design size: \a targets in nine failure domains with two accelerators each on average, and
+/// \a teams teams.
 Deployment largeFleet(std::uint32_t targets, std::uint32_t teams);
 
 } // namespace guavavalve::bench
--- a/src/decisions/admission.h
+++ b/src/decisions/admission.h
@@ -6,15 +6,15 @@
 
 namespace guavavalve::internal {
 
-/// Whether \a request can be taken. A refusal is true: it says why, and when to come back if that
-/// is of use.
+/// Checks whether \a request can be accepted. The error states the actual cause and, where retrying
+/// can help, after how long.
 Result<void> admit(Ledger &ledger, const TaskRequest &request, Instant now);
 
-/// How long the work that waits now in the team's class takes to start, as it has started lately.
-/// Zero: it is not known.
+/// Estimates how long the tasks that now wait in the team's class take to start, from the rate of
+/// recent starts. Zero if unknown.
 Microseconds expectedWait(const Ledger &ledger, Index team, WorkClass workClass, Instant now);
 
-/// When a refused caller should come back.
+/// The delay after which a refused caller should retry.
 Milliseconds retryAfter(const Ledger &ledger, Index team, WorkClass workClass, Instant now);
 
 } // namespace guavavalve::internal
--- a/src/decisions/classpolicy.h
+++ b/src/decisions/classpolicy.h
@@ -6,16 +6,16 @@
 
 namespace guavavalve {
 
-/// What operators set for one class of work.
+/// Operator settings for one class of work.
 struct ClassPolicy
 {
-    /// May be checkpointed or stopped to make room.
+    /// Whether its tasks may be checkpointed or stopped to free capacity.
     bool preemptible = false;
-    /// Part of the cell's busiest resource that the class may hold while other classes wait.
+    /// Fraction of the cell's busiest resource that the class may hold while other classes wait.
     double maxShare = 1.0;
-    /// Tasks that may wait, per team; more are refused.
+    /// Maximum number of waiting tasks per team; further ones are refused.
     std::uint32_t maxWaiting = 200000;
-    /// How long its head may wait for room before room is made for it; zero: never made.
+    /// How long the head of a queue waits before other work is preempted for it; zero: never.
     Milliseconds preemptionDelay{0};
 };
 
--- a/src/decisions/decision.h
+++ b/src/decisions/decision.h
@@ -11,13 +11,13 @@
 
 namespace guavavalve {
 
-/// What is to happen to a task.
+/// The action to take on a task.
 enum class DecisionKind : std::uint8_t {
     Place, ///< start it on `target`
-    Refuse, ///< answer its caller with `error`; the task is forgotten and has not run
-    Throttle, ///< have its target slow it down; it stays
-    Checkpoint, ///< have its target save and end it, then requeue() it
-    Stop, ///< have its target end it, then requeue() or taskEnded() it
+    Refuse, ///< report `error` to its caller; the task has not run and is removed
+    Throttle, ///< have its target slow it down; it keeps running
+    Checkpoint, ///< have its target checkpoint and end it, then call requeue()
+    Stop, ///< have its target end it, then call requeue() or taskEnded()
 };
 
 inline constexpr EnumNames<DecisionKind, 5> decisionKindNames{{
@@ -28,19 +28,19 @@
     {DecisionKind::Stop, "stop"},
 }};
 
-/// One decision about one task. All placements of a gang stand next to each other in the output
-/// of one Scheduler::decide and are to be committed together.
+/// One decision about one task. All placements of a gang are adjacent in the output of one
+/// Scheduler::decide() and must be committed together.
 struct Decision
 {
     DecisionKind kind = DecisionKind::Place;
     TaskId task = TaskId::None;
     TargetId target = TargetId::None;
-    /// Of a placement: what is set aside on the target and counted against the team's limit. It
-    /// differs from the declared need where usage has shown the declaration to be off.
+    /// Of a placement: the resources reserved on the target and counted against the team's limit.
+    /// They differ from the declared need where measured usage has shown it to be inaccurate.
     Resources charge;
     Reason reason = Reason::None;
     ErrorCode error = ErrorCode::Internal; ///< of a refusal
-    Milliseconds retryAfter{0}; ///< of a refusal; zero: no use in coming back
+    Milliseconds retryAfter{0}; ///< of a refusal; zero: retrying does not help
 };
 
 } // namespace guavavalve
--- a/src/decisions/decisionlog.h
+++ b/src/decisions/decisionlog.h
@@ -8,17 +8,17 @@
 
 namespace guavavalve::internal {
 
-/// The last decisions, in constant space: the oldest gives way.
+/// Ring buffer of the most recent decisions; the oldest record is overwritten when it is full.
 class DecisionLog
 {
 public:
     explicit DecisionLog(std::size_t capacity);
 
-    /// Appends the decision to \a out and keeps a record of it.
+    /// Appends the decision to \a out and records it.
     void emit(const Decision &decision, std::uint32_t considered, Instant now,
               std::vector<Decision> &out);
 
-    /// The last decision about \a task that is still kept, or nullptr.
+    /// The latest decision about \a task, or nullptr if none is recorded any longer.
     const DecisionRecord *find(TaskId task) const;
 
 private:
--- a/src/decisions/decisionrecord.h
+++ b/src/decisions/decisionrecord.h
@@ -9,13 +9,13 @@
 
 namespace guavavalve::internal {
 
-/// What is kept of one decision.
+/// One entry of the DecisionLog.
 struct DecisionRecord
 {
     TaskId task = TaskId::None;
     Instant at{};
     TargetId target = TargetId::None;
-    std::uint32_t considered = 0; ///< targets weighed
+    std::uint32_t considered = 0; ///< number of candidate targets that were compared
     DecisionKind kind = DecisionKind::Place;
     Reason reason = Reason::None;
 };
--- a/src/decisions/decisions.h
+++ b/src/decisions/decisions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// The scheduler: pure and deterministic. Events and a time in, decisions out.
+/// The scheduler: a pure, deterministic function from events with their times to decisions.
 
 #include "core/attemptoutcome.h"
 #include "decisions/decision.h"
--- a/src/decisions/explainer.cpp
+++ b/src/decisions/explainer.cpp
@@ -15,60 +15,62 @@
 std::string placedText(const Explanation &explanation)
 {
     const std::string target = "target " + number(idValue(explanation.target));
-    const std::string weighed = " out of " + number(explanation.considered) + " weighed";
+    const std::string consideredText = " out of " + number(explanation.considered) + " considered";
     switch (explanation.reason) {
     case Reason::Spread:
-        return "placed on " + target + weighed
-            + ": fewest tasks of its service stand in that failure domain and rack";
+        return "placed on " + target + consideredText
+            + ": that failure domain and rack run the fewest tasks of its service";
     case Reason::Backfill:
         return "placed on " + target
-            + ": the room is reserved, and it is expected to be done before the reservation starts";
+            + ": the capacity is reserved, and the task is expected to end before the reservation "
+              "starts";
     case Reason::Probe:
-        return "placed on " + target + ": to find out whether a quarantined target works again";
+        return "placed on " + target + ": to test whether the quarantined target works again";
     case Reason::GangComplete:
         return "placed on " + target + ": all " + number(explanation.considered)
-            + " tasks of its job had room at once";
+            + " tasks of its job could be placed at once";
     case Reason::None:
         return "placed on " + target + " before this controller took over";
     default:
-        return "placed on " + target + weighed + ": it leaves the least unusable room there";
+        return "placed on " + target + consideredText
+            + ": it leaves the least unusable capacity there";
     }
 }
 
 std::string waitingText(const Explanation &explanation)
 {
-    const std::string ahead =
-        "; " + number(explanation.ahead) + " tasks of its team and class wait, this one included";
+    const std::string queueText = "; " + number(explanation.waitingInClass)
+        + " tasks of its team and class wait, including this one";
     switch (explanation.reason) {
     case Reason::TeamLimit:
-        return "waits: it would take its team over its upper limit; it starts when work of the "
+        return "waits: it would exceed the upper limit of its team; it starts when work of the "
                "team ends or the limit is raised"
-            + ahead;
+            + queueText;
     case Reason::ShareTurn:
-        return "waits: its class holds its part of the cell while other classes wait" + ahead;
+        return "waits: its class holds its maximum share while other classes wait" + queueText;
     case Reason::GangIncomplete:
-        return "waits: not all tasks of its job are there to start together" + ahead;
+        return "waits: not all tasks of its job are ready to start together" + queueText;
     case Reason::GangReserved:
-        return "waits: room is being kept for it, and it starts when what runs there ends" + ahead;
+        return "waits: capacity is reserved for it; it starts when the work running there ends"
+            + queueText;
     case Reason::Headroom:
-        return "waits: the room that is left is kept for prompt work" + ahead;
+        return "waits: the free capacity is kept for prompt work" + queueText;
     case Reason::NotOnFleet:
-        return "waits: no target that is announced now is large enough; it starts when one is"
-            + ahead;
+        return "waits: no announced target is large enough; it starts when one is" + queueText;
     case Reason::NoRoom:
-        return "waits: no target has room for it now; it starts when work ends" + ahead;
+        return "waits: no target has room for it now; it starts when work ends" + queueText;
     default:
-        return "waits: it has not been decided about yet" + ahead;
+        return "waits: no decision has been made about it yet" + queueText;
     }
 }
 
-std::string pastText(const Explanation &explanation)
+std::string endedText(const Explanation &explanation)
 {
     switch (explanation.reason) {
     case Reason::DeadlinePassed:
         return "refused: it could not start by its deadline; it has not run";
     default:
-        return "over; the last decision about it was "
+        return "ended; the last decision about it was "
             + std::string(enumName(reasonNames, explanation.reason));
     }
 }
@@ -94,12 +96,12 @@
     if (ledger.fleet.capacityFor(queue.key.need, 1) == 0)
         return Reason::NotOnFleet;
     const std::vector<Index> &headroomTargets = ledger.fleet.headroomTargets();
-    const bool kept =
-        std::any_of(headroomTargets.begin(), headroomTargets.end(), [&](Index holder) {
-            return ledger.fleet[holder].availability() == Availability::Normal
-                && queue.charge.fitsInto(ledger.fleet[holder].free());
+    const bool keptAsHeadroom =
+        std::any_of(headroomTargets.begin(), headroomTargets.end(), [&](Index target) {
+            return ledger.fleet[target].availability() == Availability::Normal
+                && queue.charge.fitsInto(ledger.fleet[target].free());
         });
-    return kept ? Reason::Headroom : Reason::NoRoom;
+    return keptAsHeadroom ? Reason::Headroom : Reason::NoRoom;
 }
 
 Explanation explainWaiting(const Ledger &ledger, const TaskRecord &task)
@@ -110,7 +112,7 @@
     explanation.state = Explanation::State::Waiting;
     explanation.reason = waitingReason(ledger, queue);
     explanation.considered = queue.considered;
-    explanation.ahead = team.waiting[static_cast<std::size_t>(queue.key.workClass)];
+    explanation.waitingInClass = team.waiting[static_cast<std::size_t>(queue.key.workClass)];
     explanation.at = queue.decidedAt;
     explanation.text = waitingText(explanation);
     return explanation;
@@ -128,7 +130,7 @@
     Explanation explanation;
     const DecisionRecord *record = log.find(id);
     if (record == nullptr) {
-        explanation.text = "not known here: it was never taken, or ended too long ago";
+        explanation.text = "unknown task: it was never accepted, or ended too long ago";
         return explanation;
     }
     explanation.state = record->kind == DecisionKind::Refuse ? Explanation::State::Refused
@@ -137,7 +139,7 @@
     explanation.target = record->target;
     explanation.considered = record->considered;
     explanation.at = record->at;
-    explanation.text = pastText(explanation);
+    explanation.text = endedText(explanation);
     return explanation;
 }
 
--- a/src/decisions/explainer.h
+++ b/src/decisions/explainer.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve::internal {
 
-/// Why \a task is where it is, from the books and the decisions that are still kept.
+/// Explains the state of \a task from the ledger and the decisions that are still logged.
 Explanation explainTask(const Ledger &ledger, const DecisionLog &log, TaskId task);
 
 } // namespace guavavalve::internal
--- a/src/decisions/explanation.h
+++ b/src/decisions/explanation.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// Why a task is where it is.
+/// The state of a task and the reason for it.
 struct Explanation
 {
     enum class State : std::uint8_t { Unknown, Waiting, Placed, Refused, Ended };
@@ -17,10 +17,11 @@
     State state = State::Unknown;
     Reason reason = Reason::None;
     TargetId target = TargetId::None; ///< of a placed task
-    std::uint32_t considered = 0; ///< targets that were weighed at the last decision
-    std::uint32_t ahead = 0; ///< tasks of the same team and class that wait; of a waiting task
-    Instant at{}; ///< when it was last decided about
-    std::string text; ///< the same in words for an operator
+    std::uint32_t considered = 0; ///< targets that were compared at the last decision
+    /// Of a waiting task: the waiting tasks of its team and class, including itself.
+    std::uint32_t waitingInClass = 0;
+    Instant at{}; ///< time of the last decision about it
+    std::string text; ///< the explanation for operators, in words
 };
 
 } // namespace guavavalve
--- a/src/decisions/fairscheduler.cpp
+++ b/src/decisions/fairscheduler.cpp
@@ -20,33 +20,33 @@
 
 namespace {
 
-constexpr std::size_t decisionsKept = 16384;
-/// How often one of the three parts of the upkeep is done, in turn: all at once would make one
-/// decision in many a long one.
-constexpr Microseconds upkeepEvery = std::chrono::milliseconds(20);
-/// Usage measured sooner than this after a start is of a task that is still starting up.
-constexpr Microseconds usageSettles = std::chrono::seconds(1);
+constexpr std::size_t decisionLogCapacity = 16384;
+/// One of the three maintenance steps runs per interval, in turn: running all at once would make a
+/// few decisions much slower than the others.
+constexpr Microseconds maintenanceInterval = std::chrono::milliseconds(20);
+/// Usage measured sooner than this after a start is that of a task that is still starting up.
+constexpr Microseconds usageSettlingTime = std::chrono::seconds(1);
 
 } // namespace
 
-struct FairScheduler::Parts
+struct FairScheduler::Private
 {
-    enum class UpkeepPart : std::uint8_t { Headroom, Reservations, Room };
+    enum class MaintenanceStep : std::uint8_t { Headroom, Reservations, Preemption };
 
     Ledger ledger;
-    DecisionLog log{decisionsKept};
+    DecisionLog log{decisionLogCapacity};
     Reservations reservations{ledger};
     Quarantine quarantine{ledger};
     Headroom headroom{ledger};
     Preemptor preemptor{ledger, log};
     Placer placer{ledger, reservations, quarantine, log};
     Deadlines deadlines;
-    Instant lastUpkeep{};
-    UpkeepPart upkeepPart = UpkeepPart::Headroom;
+    Instant lastMaintenance{};
+    MaintenanceStep nextMaintenanceStep = MaintenanceStep::Headroom;
     bool moreToPlace = false;
-    bool changed = false; ///< something was told since the last decide()
+    bool changed = false; ///< an event arrived since the last decide()
 
-    bool upkeepWanted() const
+    bool needsMaintenance() const
     {
         return !this->ledger.blocked.empty() || this->headroom.targets() > 0
             || this->preemptor.hasWork();
@@ -54,58 +54,58 @@
 
     void endAttempt(Index task, AttemptOutcome end, Instant now);
     void correctSize(WorkQueue &queue);
-    void wakeCorrected(Index queue, const Resources &before);
-    void refuseLate(Instant now, std::vector<Decision> &out);
-    void upkeep(Instant now, std::vector<Decision> &out);
+    void wakeIfChargeChanged(Index queue, const Resources &before);
+    void refuseExpired(Instant now, std::vector<Decision> &out);
+    void runMaintenance(Instant now, std::vector<Decision> &out);
     void enqueue(Index task, bool front, Instant now);
     void undoPlacement(Index task, Instant now);
 };
 
 FairScheduler::FairScheduler()
-    : parts(std::make_unique<Parts>())
+    : d(std::make_unique<Private>())
 {}
 
 FairScheduler::~FairScheduler() = default;
 
 void FairScheduler::applyPolicy(const Policy &policy, Instant)
 {
-    this->parts->ledger.applyPolicy(policy);
-    this->parts->preemptor.limitsChanged();
-    this->parts->changed = true;
+    this->d->ledger.applyPolicy(policy);
+    this->d->preemptor.limitsChanged();
+    this->d->changed = true;
 }
 
 void FairScheduler::targetChanged(const TargetInfo &info, Instant)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index index = ledger.fleet.indexOf(info.id);
     TargetRecord &target = ledger.fleet[index];
     const bool restarted = target.info.incarnation != info.incarnation;
     ledger.moveTarget(index, info.failureDomain, info.rack);
     target.info = info;
     target.known = true;
-    // A new process may have mended what made the old one fail.
+    // The new process may no longer have the fault of the old one.
     if (restarted)
-        this->parts->quarantine.clearRecord(index);
+        this->d->quarantine.clearRecord(index);
     ledger.fleet.refresh(index);
     ledger.markFreed(index);
-    this->parts->changed = true;
+    this->d->changed = true;
 }
 
 void FairScheduler::targetLost(TargetId id, Instant)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index index = ledger.fleet.find(id);
     if (index == noIndex)
         return;
     ledger.fleet[index].known = false;
-    this->parts->quarantine.clearRecord(index);
+    this->d->quarantine.clearRecord(index);
     ledger.fleet.refresh(index);
-    this->parts->changed = true;
+    this->d->changed = true;
 }
 
 Result<void> FairScheduler::submit(const TaskRequest &request, Instant now)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     Result<void> admitted = admit(ledger, request, now);
     if (admitted.has_error()) {
         ++ledger.counts(request.workClass).refused;
@@ -113,16 +113,16 @@
     }
     const Index task = ledger.add(request, now);
     if (request.workClass == WorkClass::Prompt)
-        this->parts->headroom.promptArrived(ledger.queues[ledger.tasks[task].queue].charge, now);
-    this->parts->enqueue(task, false, now);
-    this->parts->changed = true;
+        this->d->headroom.promptArrived(ledger.queues[ledger.tasks[task].queue].charge, now);
+    this->d->enqueue(task, false, now);
+    this->d->changed = true;
     return boost::outcome_v2::success();
 }
 
 void FairScheduler::restorePlaced(const TaskRequest &request, const Resources &charge,
                                   TargetId target, Instant now)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     if (ledger.findTask(request.id) != noIndex)
         return;
     const Index task = ledger.add(request, now);
@@ -131,19 +131,19 @@
 
 void FairScheduler::taskEnded(TaskId id, AttemptOutcome end, Instant now)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index task = ledger.findTask(id);
     if (task == noIndex)
         return;
     if (ledger.tasks[task].target == noIndex)
         ledger.dequeue(task);
     else
-        this->parts->endAttempt(task, end, now);
+        this->d->endAttempt(task, end, now);
     ledger.remove(task);
-    this->parts->changed = true;
+    this->d->changed = true;
 }
 
-void FairScheduler::Parts::endAttempt(Index index, AttemptOutcome end, Instant now)
+void FairScheduler::Private::endAttempt(Index index, AttemptOutcome end, Instant now)
 {
     const TaskRecord &task = this->ledger.tasks[index];
     WorkQueue &queue = this->ledger.queues[task.queue];
@@ -156,7 +156,7 @@
     this->ledger.release(index);
 }
 
-void FairScheduler::Parts::enqueue(Index index, bool front, Instant now)
+void FairScheduler::Private::enqueue(Index index, bool front, Instant now)
 {
     const TaskRecord &task = this->ledger.tasks[index];
     this->ledger.enqueue(index, front, now);
@@ -165,38 +165,38 @@
 
 void FairScheduler::requeue(TaskId id, AttemptOutcome end, Instant now)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index index = ledger.findTask(id);
     if (index == noIndex || ledger.tasks[index].target == noIndex)
         return;
-    this->parts->endAttempt(index, end, now);
-    this->parts->changed = true;
+    this->d->endAttempt(index, end, now);
+    this->d->changed = true;
     if (ledger.tasks[index].cancelled)
         return ledger.remove(index);
-    this->parts->enqueue(index, true, now);
+    this->d->enqueue(index, true, now);
     if (const GangRecord *gang = ledger.gangOf(ledger.tasks[index]))
-        this->parts->preemptor.stopRemainingMembers(*gang);
+        this->d->preemptor.stopRemainingMembers(*gang);
 }
 
 void FairScheduler::placementRejected(TaskId id, Instant now)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index index = ledger.findTask(id);
     if (index == noIndex || ledger.tasks[index].target == noIndex)
         return;
-    this->parts->changed = true;
+    this->d->changed = true;
     const GangRecord *gang = ledger.gangOf(ledger.tasks[index]);
     if (gang == nullptr)
-        return this->parts->undoPlacement(index, now);
+        return this->d->undoPlacement(index, now);
     const Instant decidedAt = ledger.tasks[index].placedAt;
     const std::vector<Index> members = gang->members;
     for (const Index member : members) {
         if (ledger.tasks[member].target != noIndex && ledger.tasks[member].placedAt == decidedAt)
-            this->parts->undoPlacement(member, now);
+            this->d->undoPlacement(member, now);
     }
 }
 
-void FairScheduler::Parts::undoPlacement(Index index, Instant now)
+void FairScheduler::Private::undoPlacement(Index index, Instant now)
 {
     const TaskRecord &task = this->ledger.tasks[index];
     if (task.probe)
@@ -210,7 +210,7 @@
 
 bool FairScheduler::cancel(TaskId id, Instant)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index task = ledger.findTask(id);
     if (task == noIndex)
         return false;
@@ -220,19 +220,19 @@
     }
     ledger.dequeue(task);
     ledger.remove(task);
-    this->parts->changed = true;
+    this->d->changed = true;
     return true;
 }
 
 void FairScheduler::usageReported(TaskId id, const Resources &used, Instant at)
 {
-    Ledger &ledger = this->parts->ledger;
+    Ledger &ledger = this->d->ledger;
     const Index index = ledger.findTask(id);
     if (index == noIndex || ledger.tasks[index].target == noIndex)
         return;
     TaskRecord &task = ledger.tasks[index];
-    // Reports lag: one from before this attempt had settled tells of another, or of its start.
-    if (at < task.placedAt + usageSettles)
+    // Reports lag: an early one describes a previous attempt, or this one while starting up.
+    if (at < task.placedAt + usageSettlingTime)
         return;
     TargetRecord &target = ledger.fleet[task.target];
     const auto measured = [&used](ResourceKind kind) {
@@ -244,42 +244,42 @@
     task.usedMemoryMb = measured(ResourceKind::MemoryMb);
     target.usedMilliCores += task.usedMilliCores;
     target.usedMemoryMb += task.usedMemoryMb;
-    this->parts->preemptor.usageChanged(task.target);
+    this->d->preemptor.usageChanged(task.target);
     WorkQueue &queue = ledger.queues[task.queue];
     queue.profile.addUsage(queue.key.need, used);
     const Resources before = queue.charge;
-    this->parts->correctSize(queue);
-    this->parts->wakeCorrected(task.queue, before);
-    this->parts->changed = true;
+    this->d->correctSize(queue);
+    this->d->wakeIfChargeChanged(task.queue, before);
+    this->d->changed = true;
 }
 
-void FairScheduler::Parts::correctSize(WorkQueue &queue)
+void FairScheduler::Private::correctSize(WorkQueue &queue)
 {
     if (!this->ledger.policy.correctSizes)
         return;
     Resources charge = queue.profile.corrected(queue.key.need);
     const TeamRecord &team = this->ledger.teams[queue.key.team];
     for (std::size_t kind = 0; kind < resourceKindCount; ++kind) {
-        // A correction must not make a task that was accepted one that never fits.
-        const std::int64_t most = std::min(this->ledger.fleet.largest().amounts[kind],
-                                           team.policy.limit.amounts[kind]
-                                               / static_cast<std::int64_t>(queue.key.gangSize));
+        // A correction must not make an accepted task too large for every target or for its limit.
+        const std::int64_t maxCharge = std::min(
+            this->ledger.fleet.largest().amounts[kind],
+            team.policy.limit.amounts[kind] / static_cast<std::int64_t>(queue.key.gangSize));
         const std::int64_t declared = queue.key.need.amounts[kind];
-        charge.amounts[kind] = std::min(charge.amounts[kind], std::max(most, declared));
+        charge.amounts[kind] = std::min(charge.amounts[kind], std::max(maxCharge, declared));
     }
-    const std::uint64_t together = queue.key.gangSize;
-    if (this->ledger.fleet.capacityFor(charge, together) >= together)
+    const std::uint64_t gangSize = queue.key.gangSize;
+    if (this->ledger.fleet.capacityFor(charge, gangSize) >= gangSize)
         queue.charge = charge;
 }
 
-void FairScheduler::Parts::wakeCorrected(Index index, const Resources &before)
+void FairScheduler::Private::wakeIfChargeChanged(Index index, const Resources &before)
 {
     const WorkQueue &queue = this->ledger.queues[index];
     if (queue.charge != before && queue.state != QueueState::Ready)
         this->ledger.makeReady(index, false);
 }
 
-void FairScheduler::Parts::refuseLate(Instant now, std::vector<Decision> &out)
+void FairScheduler::Private::refuseExpired(Instant now, std::vector<Decision> &out)
 {
     while (this->deadlines.isDue(now)) {
         const Index index = this->ledger.findTask(this->deadlines.takeNext());
@@ -301,59 +301,57 @@
     }
 }
 
-void FairScheduler::Parts::upkeep(Instant now, std::vector<Decision> &out)
+void FairScheduler::Private::runMaintenance(Instant now, std::vector<Decision> &out)
 {
-    if (now - this->lastUpkeep < upkeepEvery)
+    if (now - this->lastMaintenance < maintenanceInterval)
         return;
-    this->lastUpkeep = now;
-    switch (this->upkeepPart) {
-    case UpkeepPart::Headroom:
+    this->lastMaintenance = now;
+    switch (this->nextMaintenanceStep) {
+    case MaintenanceStep::Headroom:
         this->headroom.update(now);
-        this->upkeepPart = UpkeepPart::Reservations;
+        this->nextMaintenanceStep = MaintenanceStep::Reservations;
         return;
-    case UpkeepPart::Reservations:
+    case MaintenanceStep::Reservations:
         this->reservations.update(now);
-        this->upkeepPart = UpkeepPart::Room;
+        this->nextMaintenanceStep = MaintenanceStep::Preemption;
         return;
-    case UpkeepPart::Room:
+    case MaintenanceStep::Preemption:
         this->preemptor.update(now, out);
-        this->upkeepPart = UpkeepPart::Headroom;
+        this->nextMaintenanceStep = MaintenanceStep::Headroom;
         return;
     }
 }
 
 void FairScheduler::decide(Instant now, std::vector<Decision> &out)
 {
-    Parts &all = *this->parts;
-    all.changed = false;
-    all.ledger.updateRanks();
-    all.refuseLate(now, out);
-    all.upkeep(now, out);
-    all.moreToPlace = all.placer.run(now, out);
+    this->d->changed = false;
+    this->d->ledger.updateRanks();
+    this->d->refuseExpired(now, out);
+    this->d->runMaintenance(now, out);
+    this->d->moreToPlace = this->d->placer.run(now, out);
 }
 
 Instant FairScheduler::nextWakeup() const
 {
-    const Parts &all = *this->parts;
-    if (all.moreToPlace || all.changed)
-        return all.lastUpkeep;
-    Instant next = std::min(all.deadlines.next(), all.quarantine.nextProbe());
-    next = std::min(next, all.preemptor.nextEscalation());
-    if (all.upkeepWanted())
-        next = std::min(next, all.lastUpkeep + upkeepEvery);
-    return std::max(next, all.lastUpkeep);
+    if (this->d->moreToPlace || this->d->changed)
+        return this->d->lastMaintenance;
+    Instant next = std::min(this->d->deadlines.next(), this->d->quarantine.nextProbe());
+    next = std::min(next, this->d->preemptor.nextEscalation());
+    if (this->d->needsMaintenance())
+        next = std::min(next, this->d->lastMaintenance + maintenanceInterval);
+    return std::max(next, this->d->lastMaintenance);
 }
 
 Explanation FairScheduler::explain(TaskId task) const
 {
-    return explainTask(this->parts->ledger, this->parts->log, task);
+    return explainTask(this->d->ledger, this->d->log, task);
 }
 
 Statistics FairScheduler::statistics() const
 {
-    Statistics statistics = shareStatistics(this->parts->ledger);
-    statistics.quarantined = this->parts->quarantine.count();
-    statistics.headroomTargets = this->parts->headroom.targets();
+    Statistics statistics = shareStatistics(this->d->ledger);
+    statistics.quarantined = this->d->quarantine.count();
+    statistics.headroomTargets = this->d->headroom.targets();
     return statistics;
 }
 
--- a/src/decisions/fairscheduler.h
+++ b/src/decisions/fairscheduler.h
@@ -6,13 +6,20 @@
 
 namespace guavavalve {
 
-/// The product's scheduler. Prompt work first, with headroom that follows its arrivals; teams by
-/// dominant resource fairness (Ghodsi et al., 2011) against their weights, with exact limits;
-/// best fit; gangs whole, with reservation and backfill; room made by throttle, checkpoint, then
-/// stop; failing targets in quarantine; sizes corrected from usage. See docs/design/decisions.md.
+/// The scheduler used in production. Its rules:
+/// - Prompt work is placed first, with headroom that follows its arrival rate.
+/// - Teams share by weighted dominant resource fairness (Ghodsi et al., 2011), with exact limits.
+/// - Targets are chosen by best fit.
+/// - Gangs are placed all at once, with reservations and backfill.
+/// - Preemption throttles, then checkpoints, then stops tasks.
+/// - Failing targets are quarantined.
+/// - Declared sizes are corrected from measured usage.
 ///
-/// Cost: submit, cancel, an end and a usage report are constant work but for the order of the
-/// teams (logarithmic in their number). A placement grows with neither the queue nor the fleet.
+/// See docs/design/decisions.md.
+///
+/// Cost: submit(), cancel(), taskEnded() and usageReported() are constant apart from keeping the
+/// teams ordered (logarithmic in their number). The cost of a placement depends neither on the
+/// length of the queue nor on the size of the fleet.
 class FairScheduler : public Scheduler
 {
 public:
@@ -36,9 +43,9 @@
     Statistics statistics() const override;
 
 private:
-    struct Parts;
+    struct Private;
 
-    std::unique_ptr<Parts> parts;
+    std::unique_ptr<Private> d;
 };
 
 } // namespace guavavalve
--- a/src/decisions/firstfitscheduler.cpp
+++ b/src/decisions/firstfitscheduler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// When a refused caller should come back, where nothing better is known.
+/// Delay after which a refused caller should retry; the baseline does not estimate waits.
 constexpr Milliseconds defaultRetryAfter{1000};
 
 } // namespace
@@ -46,7 +46,7 @@
 bool FirstFitScheduler::fitsSomewhere(const TaskRequest &task) const
 {
     if (this->targets.empty())
-        return true; // nothing has announced itself yet, so nothing is known about sizes
+        return true; // no target has announced itself yet, so no size is known
     return std::any_of(this->targets.begin(), this->targets.end(), [&task](const auto &entry) {
         return entry.second.known && task.need.fitsInto(entry.second.info.total);
     });
@@ -58,15 +58,15 @@
     if (team == this->teams.end() || !team->second.configured)
         return failure(ErrorCode::NotFound, "the team is not configured; ask an operator");
     if (this->tasks.count(request.id) != 0)
-        return failure(ErrorCode::Conflict, "a task with this identity is known already");
+        return failure(ErrorCode::Conflict, "a task with this identity already exists");
     if (!this->fitsSomewhere(request))
         return failure(ErrorCode::NeverFits, "no announced target is large enough for the task");
     if (!request.need.fitsInto(team->second.policy.limit))
-        return failure(ErrorCode::LimitExceeded, "the task alone is over its team's upper limit");
+        return failure(ErrorCode::LimitExceeded, "the task alone exceeds its team's upper limit");
     if (request.startBy <= now)
-        return failure(ErrorCode::DeadlineExceeded, "the time to start by has passed");
+        return failure(ErrorCode::DeadlineExceeded, "the deadline to start has passed");
     if (team->second.waiting >= this->policy.of(request.workClass).maxWaiting) {
-        Error error = failure(ErrorCode::LimitExceeded, "too many tasks of the team wait already");
+        Error error = failure(ErrorCode::LimitExceeded, "too many tasks of the team are waiting");
         error.retryAfter = defaultRetryAfter;
         return error;
     }
@@ -100,7 +100,7 @@
 void FirstFitScheduler::enqueue(Task &task, bool front)
 {
     const auto where = front ? this->queue.begin() : this->queue.end();
-    task.place = this->queue.insert(where, task.request.id);
+    task.position = this->queue.insert(where, task.request.id);
     Team &team = this->teams[task.request.team];
     ++team.waiting;
     team.waitingNeed += task.request.need;
@@ -111,7 +111,7 @@
 
 void FirstFitScheduler::dequeue(Task &task)
 {
-    this->queue.erase(task.place);
+    this->queue.erase(task.position);
     Team &team = this->teams[task.request.team];
     --team.waiting;
     team.waitingNeed -= task.request.need;
@@ -206,7 +206,7 @@
 
 void FirstFitScheduler::usageReported(TaskId, const Resources &, Instant)
 {
-    // The baseline believes what is declared.
+    // The baseline relies on the declared sizes.
 }
 
 bool FirstFitScheduler::withinLimit(const Task &task) const
@@ -263,14 +263,14 @@
     return false;
 }
 
-void FirstFitScheduler::refuseLate(Instant now, std::vector<Decision> &out)
+void FirstFitScheduler::refuseExpired(Instant now, std::vector<Decision> &out)
 {
-    std::vector<TaskId> late;
+    std::vector<TaskId> expired;
     for (const TaskId id : this->queue) {
         if (this->tasks.at(id).request.startBy <= now)
-            late.push_back(id);
+            expired.push_back(id);
     }
-    for (const TaskId id : late) {
+    for (const TaskId id : expired) {
         Decision decision;
         decision.kind = DecisionKind::Refuse;
         decision.task = id;
@@ -287,7 +287,7 @@
 
 void FirstFitScheduler::decide(Instant now, std::vector<Decision> &out)
 {
-    this->refuseLate(now, out);
+    this->refuseExpired(now, out);
     std::vector<TaskId> candidates;
     for (const TaskId id : this->queue) {
         if (candidates.size() >= this->lookAhead)
@@ -318,20 +318,21 @@
     Explanation explanation;
     const auto task = this->tasks.find(id);
     if (task == this->tasks.end()) {
-        explanation.text = "not known here";
+        explanation.text = "unknown task";
         return explanation;
     }
     explanation.target = task->second.target;
     if (task->second.target != TargetId::None) {
         explanation.state = Explanation::State::Placed;
         explanation.reason = Reason::FirstFit;
-        explanation.text = "placed on the first target with room";
+        explanation.text = "placed on the first target with enough free capacity";
         return explanation;
     }
     explanation.state = Explanation::State::Waiting;
     explanation.reason = this->withinLimit(task->second) ? Reason::NoRoom : Reason::TeamLimit;
-    explanation.text = explanation.reason == Reason::NoRoom ? "waits: no target has room for it"
-                                                            : "waits: over its team's upper limit";
+    explanation.text = explanation.reason == Reason::NoRoom
+        ? "waits: no target has room for it"
+        : "waits: it would exceed the upper limit of its team";
     return explanation;
 }
 
--- a/src/decisions/firstfitscheduler.h
+++ b/src/decisions/firstfitscheduler.h
@@ -8,14 +8,14 @@
 
 namespace guavavalve {
 
-/// The baseline that every measurement stands beside: tasks in order of arrival, each on the
-/// first target with room, tasks without a place are passed over. Keeps targets' room, teams'
-/// limits and gangs whole; knows no shares, classes, headroom or failing targets. Its cost grows
-/// with the queue and with the fleet.
+/// The baseline for measurements: places tasks in order of arrival, each on the first target with
+/// enough free capacity, and skips tasks that fit nowhere. It respects target capacities and team
+/// limits and places gangs all at once; it knows no shares, classes, headroom or failing targets.
+/// Its cost grows with the queue and with the fleet.
 class FirstFitScheduler : public Scheduler
 {
 public:
-    /// \a lookAhead bounds how many waiting tasks one decide() looks at.
+    /// \a lookAhead is the maximum number of waiting tasks that one decide() considers.
     explicit FirstFitScheduler(std::size_t lookAhead = 100000);
 
     void applyPolicy(const Policy &policy, Instant now) override;
@@ -39,7 +39,7 @@
     {
         TargetInfo info;
         Resources placed;
-        bool known = false; ///< announced and not lost
+        bool known = false; ///< announced and not lost since
     };
     struct Team
     {
@@ -56,13 +56,13 @@
         Resources charge;
         TargetId target = TargetId::None; ///< None: waiting
         bool cancelled = false;
-        std::list<TaskId>::iterator place; ///< in the queue; valid while waiting
+        std::list<TaskId>::iterator position; ///< in the queue; valid while waiting
     };
     struct Gang
     {
         std::vector<TaskId> waiting;
         std::uint32_t submitted = 0;
-        std::uint32_t outstanding = 0; ///< submitted and not over
+        std::uint32_t outstanding = 0; ///< submitted and not ended
     };
     using Tasks = std::unordered_map<TaskId, Task>;
 
@@ -77,7 +77,7 @@
     void forget(Tasks::iterator task);
     bool place(Task &task, std::vector<Decision> &out);
     bool placeGang(JobId job, std::vector<Decision> &out);
-    void refuseLate(Instant now, std::vector<Decision> &out);
+    void refuseExpired(Instant now, std::vector<Decision> &out);
 
     std::size_t lookAhead;
     Policy policy;
--- a/src/decisions/policy.h
+++ b/src/decisions/policy.h
@@ -11,14 +11,14 @@
 
 namespace guavavalve {
 
-/// Everything that operators set about decisions. Applied whole; a team that is missing keeps
-/// what it has placed and gets nothing new.
+/// All operator settings of the scheduler. A policy replaces the previous one completely: a team
+/// that it does not list keeps its placed tasks and gets no new ones.
 struct Policy
 {
     std::vector<TeamPolicy> teams;
     std::array<ClassPolicy, workClassCount> classes = defaultClasses();
     QuarantinePolicy quarantine;
-    bool correctSizes = true; ///< learn real sizes from usage, by team and shape
+    bool correctSizes = true; ///< learn actual sizes from usage, by team and shape
 
     ClassPolicy &of(WorkClass workClass)
     {
--- a/src/decisions/reason.h
+++ b/src/decisions/reason.h
@@ -6,30 +6,30 @@
 
 namespace guavavalve {
 
-/// Why a task was decided about as it was, or why it still waits.
+/// Why a decision about a task was made, or why the task still waits.
 enum class Reason : std::uint8_t {
     None,
-    BestFit, ///< placed where what is left over is used best
-    FirstFit, ///< placed on the first target with room
+    BestFit, ///< placed where the capacity left over is most usable
+    FirstFit, ///< placed on the first target with enough free capacity
     Spread, ///< placed to spread a service over failure domains and racks
-    Backfill, ///< placed on reserved room, which it leaves before the reservation starts
-    Probe, ///< placed to try out a quarantined target
-    GangComplete, ///< placed with all tasks of its job
-    GangIncomplete, ///< waits: not all tasks of its job have been submitted or have ended
-    GangReserved, ///< waits: room is being reserved for all tasks of its job
-    GangBroken, ///< stopped: another task of its job has to start again
-    NoRoom, ///< waits: no target has room for it
-    Headroom, ///< waits: the room that is left is kept for prompt work
-    TeamLimit, ///< waits: it would take its team over its upper limit
-    ShareTurn, ///< waits: teams further below their share go first
-    NotOnFleet, ///< waits: no announced target could hold it any longer
-    DeadlinePassed, ///< refused: not started by its deadline
-    DeadlineUnreachable, ///< refused: the queue ahead of it lasts longer than its deadline
-    RoomForPrompt, ///< throttled or ended: prompt work needs its room
-    ShareReclaimed, ///< ended: a team below its share takes back what was lent
-    LimitLowered, ///< ended: its team's upper limit was lowered below what runs
-    TargetOverused, ///< throttled or ended: measured use is more than the target has
-    RoomForGang, ///< ended: an all-at-once job has waited beyond its patience
+    Backfill, ///< placed on reserved capacity, to end before the reservation starts
+    Probe, ///< placed to test a quarantined target
+    GangComplete, ///< placed together with all tasks of its job
+    GangIncomplete, ///< waits: some tasks of its job are not submitted yet, or still run
+    GangReserved, ///< waits: capacity is being reserved for all tasks of its job
+    GangBroken, ///< stopped: another task of its job has to restart
+    NoRoom, ///< waits: no target has enough free capacity
+    Headroom, ///< waits: the free capacity is kept for prompt work
+    TeamLimit, ///< waits: it would exceed the upper limit of its team
+    ShareTurn, ///< waits: its class holds its share while other classes wait
+    NotOnFleet, ///< waits: no announced target is large enough any longer
+    DeadlinePassed, ///< refused: did not start by its deadline
+    DeadlineUnreachable, ///< refused: it is not expected to start by its deadline
+    RoomForPrompt, ///< throttled or ended: prompt work needs its resources
+    ShareReclaimed, ///< ended: a team below its share reclaims resources
+    LimitLowered, ///< ended: its team's upper limit was lowered below its use
+    TargetOverused, ///< throttled or ended: measured use exceeds the target's capacity
+    RoomForGang, ///< ended: a gang has waited longer than its preemption delay
 };
 
 inline constexpr EnumNames<Reason, 22> reasonNames{{
--- a/src/decisions/replayaccounting.cpp
+++ b/src/decisions/replayaccounting.cpp
@@ -36,8 +36,8 @@
     if (item == this->tasks.end() || item->second.target == TargetId::None)
         return;
     Entry &entry = item->second;
-    this->onTarget[entry.target] -= entry.charge;
-    this->ofTeam[entry.team] -= entry.charge;
+    this->placedOnTarget[entry.target] -= entry.charge;
+    this->placedByTeam[entry.team] -= entry.charge;
     entry.target = TargetId::None;
 }
 
@@ -61,8 +61,8 @@
     entry.placedAt = now;
     entry.target = target;
     entry.charge = charge;
-    this->onTarget[target] += charge;
-    this->ofTeam[entry.team] += charge;
+    this->placedOnTarget[target] += charge;
+    this->placedByTeam[entry.team] += charge;
 }
 
 void ReplayAccounting::decided(const Decision &decision, Instant now)
@@ -84,9 +84,9 @@
     if (entry.target != TargetId::None)
         ++this->doublePlacements;
     this->place(entry, decision.target, decision.charge, now);
-    if (!this->onTarget[decision.target].fitsInto(this->totals[decision.target]))
+    if (!this->placedOnTarget[decision.target].fitsInto(this->totals[decision.target]))
         ++this->roomBreaches;
-    if (!this->ofTeam[entry.team].fitsInto(this->limits[entry.team]))
+    if (!this->placedByTeam[entry.team].fitsInto(this->limits[entry.team]))
         ++this->limitBreaches;
     if (entry.prompt && !entry.started) {
         const std::chrono::duration<double, std::milli> wait = now - entry.submittedAt;
--- a/src/decisions/replayaccounting.h
+++ b/src/decisions/replayaccounting.h
@@ -13,8 +13,8 @@
 
 namespace guavavalve::internal {
 
-/// Plain books that a replay keeps of its own, so that what a trace states is checked against
-/// something other than the scheduler's own figures.
+/// Accounts for placements independently of the scheduler, so that a replay does not check a trace
+/// against the scheduler's own figures.
 class ReplayAccounting
 {
 public:
@@ -22,11 +22,12 @@
     void targetChanged(const TargetInfo &target) { this->totals[target.id] = target.total; }
     void submitted(const TaskRequest &task, Instant now);
     void restored(const TaskRequest &task, const Resources &charge, TargetId target, Instant now);
-    void released(TaskId task); ///< its attempt is over
-    void rejected(TaskId task); ///< its placement is undone, a gang's with all of the same time
+    void released(TaskId task); ///< its attempt has ended
+    /// Undoes its placement; for a gang, all placements of its job that were made at that time.
+    void rejected(TaskId task);
     void decided(const Decision &decision, Instant now);
 
-    /// Adds what has been counted to \a measures, by name.
+    /// Adds the counted figures to \a measures, by name.
     void report(std::map<std::string, double> &measures) const;
 
 private:
@@ -47,8 +48,8 @@
 
     std::unordered_map<TaskId, Entry> tasks;
     std::unordered_map<TargetId, Resources> totals;
-    std::unordered_map<TargetId, Resources> onTarget;
-    std::unordered_map<TeamId, Resources> ofTeam;
+    std::unordered_map<TargetId, Resources> placedOnTarget;
+    std::unordered_map<TeamId, Resources> placedByTeam;
     std::unordered_map<TeamId, Resources> limits;
     std::vector<double> promptWaitsMs;
     std::uint64_t placed = 0;
--- a/src/decisions/replayoutcome.h
+++ b/src/decisions/replayoutcome.h
@@ -5,10 +5,10 @@
 
 namespace guavavalve {
 
-/// An outcome that a trace states, and what the replay showed.
+/// An outcome that a trace expects, with the value that the replay gave.
 struct ReplayOutcome
 {
-    std::string measure; ///< a name out of ReplayReport::measures
+    std::string measure; ///< a key of ReplayReport::measures
     double atLeast = std::numeric_limits<double>::lowest();
     double atMost = std::numeric_limits<double>::max();
     double value = 0.0;
--- a/src/decisions/replayreport.h
+++ b/src/decisions/replayreport.h
@@ -10,15 +10,16 @@
 
 namespace guavavalve {
 
-/// What replaying a trace showed.
+/// Result of replaying a trace.
 struct ReplayReport
 {
     std::uint64_t events = 0;
     std::uint64_t decisions = 0;
-    /// The first decision that differs from the recorded one, in words with its line; empty: none.
+    /// Describes the first decision that differs from the recorded one, with its line number; empty
+    /// if there is none.
     std::string firstDifference;
-    std::vector<ReplayOutcome> outcomes; ///< as stated in the trace
-    /// Everything that outcomes can be stated about, by name: placed, refused, running, waiting,
+    std::vector<ReplayOutcome> outcomes; ///< as expected by the trace
+    /// The figures that a trace can state outcomes for, by name: placed, refused, running, waiting,
     /// preempted, quarantined, packing, share-error, prompt-wait-p99-ms, room-breaches,
     /// limit-breaches and double-placements.
     std::map<std::string, double> measures;
--- a/src/decisions/replaytrace.cpp
+++ b/src/decisions/replaytrace.cpp
@@ -29,7 +29,7 @@
     throw std::invalid_argument("unknown scheduler \"" + name + "\"");
 }
 
-/// One replay: the scheduler under test, the books and the report.
+/// One replay: the replayed scheduler, the independent accounting and the report.
 class Replay
 {
 public:
@@ -41,17 +41,17 @@
     void submit(const Json &line, Instant now);
     void decide(const Json &line, Instant now);
     void expect(const Json &line);
-    void differ(const std::string &text);
+    void recordDifference(const std::string &text);
     bool applyTargetEvent(const std::string &name, const Json &line, Instant now);
     bool applyTaskEvent(const std::string &name, const Json &line, Instant now);
 
     std::unique_ptr<Scheduler> scheduler;
-    ReplayAccounting books;
+    ReplayAccounting accounting;
     ReplayReport report;
     std::uint64_t lineNumber = 0;
 };
 
-void Replay::differ(const std::string &text)
+void Replay::recordDifference(const std::string &text)
 {
     if (this->report.firstDifference.empty())
         this->report.firstDifference = "line " + std::to_string(this->lineNumber) + ": " + text;
@@ -60,7 +60,7 @@
 void Replay::start(const Json &line)
 {
     if (line.at("version").get<int>() != 1)
-        throw std::invalid_argument("only traces of version 1 can be read");
+        throw std::invalid_argument("unsupported trace version; only version 1 can be read");
     this->scheduler = makeScheduler(line.at("scheduler").get<std::string>());
 }
 
@@ -68,13 +68,13 @@
 {
     const TaskRequest task = taskFrom(line.at("task"));
     const Result<void> result = this->scheduler->submit(task, now);
-    const std::string is =
+    const std::string actual =
         result.has_error() ? std::string(enumName(errorCodeNames, result.error().code)) : "taken";
     const auto recorded = line.at("is").get<std::string>();
-    if (is != recorded)
-        this->differ("submission was " + recorded + ", is now " + is);
+    if (actual != recorded)
+        this->recordDifference("submission was " + recorded + ", is now " + actual);
     if (!result.has_error())
-        this->books.submitted(task, now);
+        this->accounting.submitted(task, now);
 }
 
 void Replay::decide(const Json &line, Instant now)
@@ -83,15 +83,16 @@
     this->scheduler->decide(now, decisions);
     const Json &recorded = line.at("d");
     for (std::size_t i = 0; i < decisions.size(); ++i) {
-        const Json is = toJson(decisions[i]);
+        const Json actual = toJson(decisions[i]);
         if (i >= recorded.size())
-            this->differ("decision " + is.dump() + " is new");
-        else if (is != recorded.at(i))
-            this->differ("decision was " + recorded.at(i).dump() + ", is now " + is.dump());
-        this->books.decided(decisions[i], now);
+            this->recordDifference("decision " + actual.dump() + " is new");
+        else if (actual != recorded.at(i))
+            this->recordDifference("decision was " + recorded.at(i).dump() + ", is now "
+                                   + actual.dump());
+        this->accounting.decided(decisions[i], now);
     }
     if (recorded.size() > decisions.size())
-        this->differ("decision " + recorded.at(decisions.size()).dump() + " is missing");
+        this->recordDifference("decision " + recorded.at(decisions.size()).dump() + " is missing");
     this->report.decisions += decisions.size();
 }
 
@@ -108,11 +109,11 @@
 {
     if (name == "policy") {
         const Policy policy = policyFrom(line.at("policy"));
-        this->books.applyPolicy(policy);
+        this->accounting.applyPolicy(policy);
         this->scheduler->applyPolicy(policy, now);
     } else if (name == "target") {
         const TargetInfo target = targetFrom(line.at("target"));
-        this->books.targetChanged(target);
+        this->accounting.targetChanged(target);
         this->scheduler->targetChanged(target, now);
     } else if (name == "lost") {
         this->scheduler->targetLost(TargetId(line.at("id").get<std::uint32_t>()), now);
@@ -128,19 +129,19 @@
         const TaskRequest task = taskFrom(line.at("task"));
         const Resources charge = resourcesFrom(line.at("charge"));
         const auto target = TargetId(line.at("on").get<std::uint32_t>());
-        this->books.restored(task, charge, target, now);
+        this->accounting.restored(task, charge, target, now);
         this->scheduler->restorePlaced(task, charge, target, now);
         return true;
     }
     const auto task = TaskId(line.at("id").get<std::uint64_t>());
     if (name == "ended") {
-        this->books.released(task);
+        this->accounting.released(task);
         this->scheduler->taskEnded(task, outcomeFrom(line.at("as")), now);
     } else if (name == "requeue") {
-        this->books.released(task);
+        this->accounting.released(task);
         this->scheduler->requeue(task, outcomeFrom(line.at("as")), now);
     } else if (name == "rejected") {
-        this->books.rejected(task);
+        this->accounting.rejected(task);
         this->scheduler->placementRejected(task, now);
     } else if (name == "cancel") {
         this->scheduler->cancel(task, now);
@@ -159,7 +160,7 @@
     if (name == "trace")
         return this->start(line);
     if (this->scheduler == nullptr)
-        throw std::invalid_argument("the first line must be the trace's own");
+        throw std::invalid_argument("the first line must be the \"trace\" event");
     if (name == "expect")
         return this->expect(line);
     ++this->report.events;
@@ -181,16 +182,16 @@
         running += counts.running;
         waiting += counts.waiting;
     }
-    double worst = 0.0;
+    double worstShareError = 0.0;
     for (const TeamStatistics &team : statistics.teams)
-        worst = std::max(worst, std::abs(team.share - team.fairShare));
+        worstShareError = std::max(worstShareError, std::abs(team.share - team.fairShare));
     std::map<std::string, double> &measures = this->report.measures;
     measures["running"] = running;
     measures["waiting"] = waiting;
     measures["packing"] = statistics.packing;
     measures["quarantined"] = statistics.quarantined;
-    measures["share-error"] = worst;
-    this->books.report(measures);
+    measures["share-error"] = worstShareError;
+    this->accounting.report(measures);
     for (ReplayOutcome &outcome : this->report.outcomes) {
         const auto measure = measures.find(outcome.measure);
         if (measure == measures.end())
--- a/src/decisions/replaytrace.h
+++ b/src/decisions/replaytrace.h
@@ -7,10 +7,10 @@
 
 namespace guavavalve {
 
-/// Runs the events of a trace (see TraceRecorder) against a new scheduler, compares every decision
-/// with the recorded one and checks the outcomes that the trace states. A difference is part of
-/// the report; an error (InvalidArgument, with the line's number) means that the trace itself
-/// cannot be read.
+/// Replays the events of a trace (see TraceRecorder) on a new scheduler, compares every decision
+/// with the recorded one and checks the outcomes that the trace expects. Differences are part of
+/// the report; an error (InvalidArgument, with the line number) means that the trace itself cannot
+/// be read.
 Result<ReplayReport> replayTrace(std::istream &stream);
 
 } // namespace guavavalve
--- a/src/decisions/scheduler.h
+++ b/src/decisions/scheduler.h
@@ -16,11 +16,13 @@
 
 namespace guavavalve {
 
-/// Decides where tasks run. Pure: the same calls with the same times give the same decisions; no
-/// clock, thread or I/O. Times must not go back. Not thread safe unless a subclass says so.
+/// Decides where tasks run. Deterministic: the same calls with the same times give the same
+/// decisions; it uses no clock, thread or I/O. Times must not decrease. Not thread safe unless a
+/// subclass says so.
 ///
-/// A task is waiting (submit), then placed (decide), then over (taskEnded) or waiting again
-/// (requeue, placementRejected). Room and the team's limit stay taken until one of these is told.
+/// A task waits (submit), is placed (decide), and then has ended (taskEnded) or waits again
+/// (requeue, placementRejected). A placed task occupies its target and counts against its team's
+/// limit until one of these calls.
 class Scheduler
 {
 public:
@@ -29,48 +31,48 @@
     Scheduler &operator=(const Scheduler &) = delete;
     virtual ~Scheduler() = default;
 
-    /// Puts \a policy in force, whole. Limits may be lowered below what is placed.
+    /// Replaces the whole policy by \a policy. Limits may be lowered below what is placed.
     virtual void applyPolicy(const Policy &policy, Instant now) = 0;
 
-    /// A target is new, has changed, or departs. A new incarnation starts with a clean record;
-    /// what was placed under the old one stays counted until it is told to be over.
+    /// A target is new, has changed or is departing. A new incarnation starts without the failures
+    /// of the old one; tasks placed on the old one stay counted until they are reported as ended.
     virtual void targetChanged(const TargetInfo &target, Instant now) = 0;
 
-    /// The target takes nothing new. What was placed on it stays counted until told to be over.
+    /// The target takes no new tasks. Those placed on it stay counted until reported as ended.
     virtual void targetLost(TargetId target, Instant now) = 0;
 
-    /// Takes a task into its queue, or says why not: NotFound (no such team), Conflict (identity
-    /// in use), NeverFits, LimitExceeded, DeadlineExceeded. Not taken means not run.
+    /// Queues a task. Errors: NotFound (no such team), Conflict (the identity is in use),
+    /// InvalidArgument, NeverFits, LimitExceeded, DeadlineExceeded; the task is then not run.
     virtual Result<void> submit(const TaskRequest &task, Instant now) = 0;
 
-    /// A new controller tells what its replicated state holds as placed: \a charge is that of
-    /// the Decision. Told before the first decide(), and also where the target is unknown yet.
+    /// Restores a placement from the replicated state of a new controller; \a charge is that of
+    /// the Decision. Called before the first decide(); the target need not be known yet.
     virtual void restorePlaced(const TaskRequest &task, const Resources &charge, TargetId target,
                                Instant now) = 0;
 
-    /// A placed task is over for good; a waiting one is forgotten. Unknown tasks are ignored.
+    /// A task has ended for good; a waiting one is removed. Unknown tasks are ignored.
     virtual void taskEnded(TaskId task, AttemptOutcome end, Instant now) = 0;
 
-    /// A placed task's attempt is over and it waits again, before others of its queue. If it was
-    /// cancelled meanwhile it is forgotten.
+    /// The attempt of a placed task has ended and the task waits again, at the front of its queue.
+    /// If it has been cancelled in the meantime it is removed.
     virtual void requeue(TaskId task, AttemptOutcome end, Instant now) = 0;
 
-    /// The decision to place was not committed: as if it had not been made, and nobody is to
-    /// blame. For a gang one call undoes the placements of all its tasks of that decision.
+    /// The placement was not committed: undoes it without recording a failure of the target. For a
+    /// gang one call undoes all placements of its tasks that were made by the same decide().
     virtual void placementRejected(TaskId task, Instant now) = 0;
 
-    /// Constant work. True: it was waiting and is forgotten. False: it is placed, and stays
-    /// counted until taskEnded() or requeue(); or it is unknown.
+    /// Returns true if the task was waiting and has been removed. Returns false if it is placed,
+    /// where it stays counted until taskEnded() or requeue(), or unknown. Cost: constant.
     virtual bool cancel(TaskId task, Instant now) = 0;
 
-    /// What a placed task was measured to use at \a at, which may lie well in the past.
+    /// The measured resource usage of a placed task at time \a at, which may be well in the past.
     virtual void usageReported(TaskId task, const Resources &used, Instant at) = 0;
 
-    /// Decides what can be decided now and appends it to \a out. Placements are in force inside
-    /// the scheduler at once.
+    /// Makes the decisions that are possible now and appends them to \a out. The scheduler counts
+    /// their placements at once.
     virtual void decide(Instant now, std::vector<Decision> &out) = 0;
 
-    /// When decide() has to be called again although nothing was told; Instant::max(): never.
+    /// When decide() must be called again even without an event; Instant::max() if never.
     virtual Instant nextWakeup() const = 0;
 
     virtual Explanation explain(TaskId task) const = 0;
--- a/src/decisions/shardedscheduler.cpp
+++ b/src/decisions/shardedscheduler.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr std::size_t taskTableParts = 64;
+constexpr std::size_t taskBucketCount = 64;
 
-std::uint64_t mixed(std::uint64_t value)
+std::uint64_t hashOf(std::uint64_t value)
 {
     value *= 0x9e3779b97f4a7c15ULL;
     return value ^ (value >> 32U);
 }
 
-/// Parts of \a limit for shards that use \a use. What is not in use is divided by \a weights. The
-/// sum of the parts is never more than the limit.
-std::vector<std::int64_t> divided(std::int64_t limit, const std::vector<std::int64_t> &use,
-                                  const std::vector<std::uint32_t> &weights)
+/// Splits \a limit into one budget for each shard. Each budget covers the shard's \a use; the rest
+/// is distributed by \a weights. The budgets never add up to more than the limit.
+std::vector<std::int64_t> splitLimit(std::int64_t limit, const std::vector<std::int64_t> &use,
+                                     const std::vector<std::uint32_t> &weights)
 {
     if (limit >= unlimitedAmount)
         return std::vector<std::int64_t>(use.size(), unlimitedAmount);
@@ -29,15 +29,15 @@
     std::int64_t weightSum = 0;
     for (const std::uint32_t weight : weights)
         weightSum += weight;
-    std::vector<std::int64_t> parts(use.size());
+    std::vector<std::int64_t> budgets(use.size());
     for (std::size_t i = 0; i < use.size(); ++i) {
-        // Lowered below what runs, each shard gives up its part of the excess.
-        parts[i] = used > limit
+        // A limit lowered below the use reduces all shards in proportion to their use.
+        budgets[i] = used > limit
             ? static_cast<std::int64_t>(static_cast<double>(use[i]) * static_cast<double>(limit)
                                         / static_cast<double>(used))
             : use[i] + (limit - used) / weightSum * weights[i];
     }
-    return parts;
+    return budgets;
 }
 
 const TeamStatistics *findTeam(const Statistics &statistics, TeamId team)
@@ -64,43 +64,43 @@
 {
     mutable std::mutex mutex;
     std::unique_ptr<Scheduler> scheduler;
-    Policy policy; ///< with this shard's parts of the limits
+    Policy policy; ///< with this shard's budgets as limits
 };
 
-/// Which shard each task is in; itself in parts, each under its own lock.
+/// Maps each task to its shard; split into buckets with a lock each.
 struct ShardedScheduler::TaskShards
 {
-    struct Part
+    struct Bucket
     {
         std::mutex mutex;
         std::unordered_map<TaskId, std::uint32_t> shards;
     };
 
-    Part &partOf(TaskId task) { return this->parts[mixed(idValue(task)) % taskTableParts]; }
+    Bucket &bucketOf(TaskId task) { return this->buckets[hashOf(idValue(task)) % taskBucketCount]; }
 
     void set(TaskId task, std::uint32_t shard)
     {
-        Part &part = this->partOf(task);
-        const std::lock_guard<std::mutex> lock(part.mutex);
-        part.shards[task] = shard;
+        Bucket &bucket = this->bucketOf(task);
+        const std::lock_guard<std::mutex> lock(bucket.mutex);
+        bucket.shards[task] = shard;
     }
 
     void erase(TaskId task)
     {
-        Part &part = this->partOf(task);
-        const std::lock_guard<std::mutex> lock(part.mutex);
-        part.shards.erase(task);
+        Bucket &bucket = this->bucketOf(task);
+        const std::lock_guard<std::mutex> lock(bucket.mutex);
+        bucket.shards.erase(task);
     }
 
-    std::uint32_t find(TaskId task, std::uint32_t otherwise)
+    std::uint32_t find(TaskId task, std::uint32_t fallback)
     {
-        Part &part = this->partOf(task);
-        const std::lock_guard<std::mutex> lock(part.mutex);
-        const auto found = part.shards.find(task);
-        return found == part.shards.end() ? otherwise : found->second;
+        Bucket &bucket = this->bucketOf(task);
+        const std::lock_guard<std::mutex> lock(bucket.mutex);
+        const auto found = bucket.shards.find(task);
+        return found == bucket.shards.end() ? fallback : found->second;
     }
 
-    std::array<Part, taskTableParts> parts;
+    std::array<Bucket, taskBucketCount> buckets;
 };
 
 ShardedScheduler::ShardedScheduler(std::uint32_t count, const Factory &factory)
@@ -125,17 +125,19 @@
     return shard < this->shardCount() ? this->shards[shard].get() : nullptr;
 }
 
-std::vector<std::uint32_t> ShardedScheduler::spareWeights(const std::vector<std::uint32_t> &waiting)
+std::vector<std::uint32_t>
+ShardedScheduler::spareBudgetWeights(const std::vector<std::uint32_t> &waiting)
 {
     std::vector<std::uint32_t> weights = waiting;
     const auto waits = [](std::uint32_t count) { return count > 0; };
     const auto waitingShards = std::count_if(waiting.begin(), waiting.end(), waits);
     if (waitingShards == 0)
         return std::vector<std::uint32_t>(waiting.size(), 1U);
-    // By turns all goes to one shard: parts of a small budget may each be too small for a task.
-    if (this->divisions % 2 == 0)
+    // Each part of a small limit may be too small for any task, so every other split gives all
+    // unused budget to one shard.
+    if (this->splitCount % 2 == 0)
         return weights;
-    auto chosen = static_cast<std::ptrdiff_t>(this->divisions / 2 % waitingShards);
+    auto chosen = static_cast<std::ptrdiff_t>(this->splitCount / 2 % waitingShards);
     for (std::uint32_t &weight : weights) {
         if (weight > 0)
             weight = chosen-- == 0 ? 1 : 0;
@@ -143,8 +145,8 @@
     return weights;
 }
 
-std::vector<Resources> ShardedScheduler::divide(const TeamPolicy &team,
-                                                const std::vector<Statistics> &statistics)
+std::vector<Resources> ShardedScheduler::splitTeamLimit(const TeamPolicy &team,
+                                                        const std::vector<Statistics> &statistics)
 {
     const std::size_t count = this->shards.size();
     std::vector<Resources> used(count);
@@ -155,43 +157,45 @@
             waiting[i] = entry->waiting;
         }
     }
-    const std::vector<std::uint32_t> weights = this->spareWeights(waiting);
-    std::vector<Resources> parts(count);
+    const std::vector<std::uint32_t> weights = this->spareBudgetWeights(waiting);
+    std::vector<Resources> budgets(count);
     for (std::size_t kind = 0; kind < resourceKindCount; ++kind) {
         std::vector<std::int64_t> use(count);
         for (std::size_t i = 0; i < count; ++i)
             use[i] = used[i].amounts[kind];
-        const std::vector<std::int64_t> amounts = divided(team.limit.amounts[kind], use, weights);
+        const std::vector<std::int64_t> amounts =
+            splitLimit(team.limit.amounts[kind], use, weights);
         for (std::size_t i = 0; i < count; ++i)
-            parts[i].amounts[kind] = amounts[i];
+            budgets[i].amounts[kind] = amounts[i];
     }
-    return parts;
+    return budgets;
 }
 
 void ShardedScheduler::applyPolicy(const Policy &newPolicy, Instant now)
 {
     const std::lock_guard<std::mutex> policyLock(this->policyMutex);
-    // All shards stop while the limits are divided anew, in the order of their numbers: a part
-    // that grew before another shrank would let the team over its limit for a moment.
+    // All shards are locked, in the order of their indices, while the limits are split again: a
+    // budget that grew before another shrank would let the team exceed its limit for a moment.
     std::vector<std::unique_lock<std::mutex>> locks;
     for (const auto &shard : this->shards)
         locks.emplace_back(shard->mutex);
     this->policy = newPolicy;
-    ++this->divisions;
+    ++this->splitCount;
     std::vector<Statistics> statistics;
     for (const auto &shard : this->shards) {
         statistics.push_back(shard->scheduler->statistics());
         shard->policy = newPolicy;
     }
     for (std::size_t team = 0; team < newPolicy.teams.size(); ++team) {
-        const std::vector<Resources> parts = this->divide(newPolicy.teams[team], statistics);
+        const std::vector<Resources> budgets =
+            this->splitTeamLimit(newPolicy.teams[team], statistics);
         const bool frozen =
             !placedOf(newPolicy.teams[team].team, statistics).fitsInto(newPolicy.teams[team].limit);
         for (std::size_t i = 0; i < this->shards.size(); ++i) {
-            TeamPolicy &part = this->shards[i]->policy.teams[team];
-            part.limit = parts[i];
-            part.wholeLimit = newPolicy.teams[team].limit;
-            part.frozen = frozen;
+            TeamPolicy &shardTeam = this->shards[i]->policy.teams[team];
+            shardTeam.limit = budgets[i];
+            shardTeam.totalLimit = newPolicy.teams[team].limit;
+            shardTeam.frozen = frozen;
         }
     }
     for (const auto &shard : this->shards)
@@ -231,31 +235,31 @@
 
 std::uint32_t ShardedScheduler::homeShard(JobId job) const
 {
-    return static_cast<std::uint32_t>(mixed(idValue(job)) % this->shardCount());
+    return static_cast<std::uint32_t>(hashOf(idValue(job)) % this->shardCount());
 }
 
 Result<void> ShardedScheduler::submit(const TaskRequest &task, Instant now)
 {
     if (this->shardOf(task.id) != nullptr)
-        return failure(ErrorCode::Conflict, "a task with this identity is known already");
-    // A gang stays together: its job has the identity of its first task.
-    const std::uint32_t hashed =
-        static_cast<std::uint32_t>(mixed(idValue(task.job)) % this->shardCount());
-    const std::uint32_t first = this->taskShards->find(TaskId(idValue(task.job)), hashed);
-    Result<void> result = failure(ErrorCode::Internal, "there is no shard");
+        return failure(ErrorCode::Conflict, "a task with this identity already exists");
+    // Keeps a gang in one shard: the id of a job equals that of its first task.
+    const std::uint32_t homeIndex =
+        static_cast<std::uint32_t>(hashOf(idValue(task.job)) % this->shardCount());
+    const std::uint32_t first = this->taskShards->find(TaskId(idValue(task.job)), homeIndex);
+    Result<void> result = failure(ErrorCode::Internal, "the scheduler has no shards");
     for (std::uint32_t i = 0; i < this->shardCount(); ++i) {
         const std::uint32_t index = (first + i) % this->shardCount();
         Shard &shard = *this->shards[index];
-        // Entered before it is taken: once it is taken another thread may decide about it.
+        // Mapped before submit(), since another thread may decide about the task right after it.
         this->taskShards->set(task.id, index);
         {
             const std::lock_guard<std::mutex> lock(shard.mutex);
             result = shard.scheduler->submit(task, now);
         }
-        // Only what this shard can never hold may be for another one.
         if (!result.has_error())
             return result;
         this->taskShards->erase(task.id);
+        // Another shard is tried only for a task that this one can never hold.
         if (result.error().code != ErrorCode::NeverFits
             && result.error().code != ErrorCode::LimitExceeded)
             return result;
@@ -292,7 +296,7 @@
     const std::lock_guard<std::mutex> lock(shard->mutex);
     shard->scheduler->requeue(task, end, now);
     if (shard->scheduler->explain(task).state == Explanation::State::Ended)
-        this->taskShards->erase(task); // it had been cancelled
+        this->taskShards->erase(task); // it was cancelled
 }
 
 void ShardedScheduler::placementRejected(TaskId task, Instant now)
@@ -364,7 +368,7 @@
         const std::lock_guard<std::mutex> lock(shard->mutex);
         return shard->scheduler->explain(task);
     }
-    // It is over; one of the shards may still have a record of it.
+    // The task has ended; one of the shards may still have a record of it.
     Explanation explanation;
     for (const auto &shard : this->shards) {
         const std::lock_guard<std::mutex> lock(shard->mutex);
--- a/src/decisions/statistics.h
+++ b/src/decisions/statistics.h
@@ -12,18 +12,18 @@
 
 namespace guavavalve {
 
-/// A scheduler's figures at one moment.
+/// Figures of a scheduler at one point in time.
 struct Statistics
 {
-    std::vector<TeamStatistics> teams; ///< in order of TeamId
+    std::vector<TeamStatistics> teams; ///< ordered by TeamId
     std::array<ClassStatistics, workClassCount> classes;
-    Resources total; ///< of the targets that take work
-    Resources placed; ///< set aside on them
-    double packing = 0.0; ///< part in use of the busiest resource
+    Resources total; ///< of the targets that accept work
+    Resources placed; ///< reserved on them
+    double packing = 0.0; ///< fraction of the busiest resource that is placed
     std::uint32_t targets = 0;
     std::uint32_t departing = 0;
     std::uint32_t quarantined = 0;
-    std::uint32_t headroomTargets = 0; ///< targets that are kept for prompt work
+    std::uint32_t headroomTargets = 0; ///< targets kept for prompt work
 
     ClassStatistics &of(WorkClass workClass)
     {
--- a/src/decisions/teampolicy.h
+++ b/src/decisions/teampolicy.h
@@ -8,18 +8,19 @@
 
 namespace guavavalve {
 
-/// What operators set for one team.
+/// Operator settings for one team.
 struct TeamPolicy
 {
     TeamId team = TeamId::None;
-    double weight = 1.0; ///< its share when the cell is full, against the other teams' weights
-    Resources limit = unlimitedResources(); ///< the most that it may have placed
-    /// Set by a front that divides the limit into budgets: the whole, of which `limit` is a part.
-    /// Work beyond the budget but not the whole waits for budget and is not refused.
-    Resources wholeLimit{};
-    /// Set by such a front while the team holds more than the whole: what is over `limit` is
-    /// ended, and nothing new starts anywhere. Room that one budget regains is not free while
-    /// another budget is still exceeded.
+    double weight = 1.0; ///< share of a full cell, relative to other teams
+    Resources limit = unlimitedResources(); ///< maximum of what it has placed
+    /// Set by ShardedScheduler, which splits the limit into budgets: the total limit, of which
+    /// `limit` is one budget. Work that exceeds the budget but not the total waits for budget
+    /// instead of being refused.
+    Resources totalLimit{};
+    /// Set by ShardedScheduler while the team exceeds its total limit: the excess over `limit` is
+    /// ended and no new task of the team starts in any shard, since budget that becomes free in
+    /// one shard is not available while another shard still exceeds its own.
     bool frozen = false;
 };
 
--- a/src/decisions/teamstatistics.h
+++ b/src/decisions/teamstatistics.h
@@ -7,17 +7,17 @@
 
 namespace guavavalve {
 
-/// How one team stands.
+/// Figures of one team.
 struct TeamStatistics
 {
     TeamId team = TeamId::None;
     double share = 0.0; ///< dominant share of the fleet, 0 to 1
-    double fairShare =
-        0.0; ///< dominant share that its weight entitles it to, given everyone's demand
+    /// Dominant share that its weight entitles it to, given the demand of all teams.
+    double fairShare = 0.0;
     Resources placed;
     Resources limit;
-    std::uint32_t running = 0; ///< tasks placed
-    std::uint32_t waiting = 0; ///< tasks waiting
+    std::uint32_t running = 0; ///< placed tasks
+    std::uint32_t waiting = 0; ///< waiting tasks
 };
 
 } // namespace guavavalve
--- a/src/decisions/tracecodec.cpp
+++ b/src/decisions/tracecodec.cpp
@@ -136,7 +136,7 @@
               {"team", idValue(task.team)},
               {"class", nameOf(workClassNames, task.workClass)},
               {"need", toJson(task.need)}};
-    // What most tasks have in common is left out, to keep traces small.
+    // Values that most tasks have in common are omitted to keep traces small.
     if (idValue(task.job) != idValue(task.id))
         json["job"] = idValue(task.job);
     if (task.jobTasks != 1)
--- a/src/decisions/tracecodec.h
+++ b/src/decisions/tracecodec.h
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-/// How traces write the scheduler's types. Reading throws nlohmann's exceptions or
-/// std::invalid_argument; replayTrace() catches them at one place.
+/// JSON encoding of the scheduler's types in traces. The `...From` functions throw the exceptions
+/// of nlohmann::json or std::invalid_argument; replayTrace() catches both.
 Json toJson(const Resources &resources);
 Json toJson(const Policy &policy);
 Json toJson(const TargetInfo &target);
--- a/src/decisions/tracerecorder.h
+++ b/src/decisions/tracerecorder.h
@@ -7,16 +7,16 @@
 
 namespace guavavalve {
 
-/// Passes every call on to a scheduler and writes it, with the decisions, as a trace: JSON lines
-/// that replayTrace() can run again. The scheduler must be new, so that the trace holds all that
-/// it was told. Both outlive the recorder.
+/// Forwards every call to a scheduler and writes it, with the decisions, as a trace: JSON lines
+/// that replayTrace() can replay. The scheduler must be new, so that the trace holds every call
+/// made to it. The scheduler and the stream must outlive the recorder.
 class TraceRecorder : public Scheduler
 {
 public:
-    /// \a name is that of the scheduler's kind: "fair" or "first-fit".
+    /// \a name is the kind of the scheduler: "fair" or "first-fit".
     TraceRecorder(Scheduler &inner, std::ostream &stream, const std::string &name);
 
-    /// States an outcome that the trace, replayed, must show; see ReplayOutcome.
+    /// Records an outcome that a replay of the trace must reach; see ReplayOutcome.
     void expectAtMost(const std::string &measure, double value);
     void expectAtLeast(const std::string &measure, double value);
 
--- a/test/decisions/checkedscheduler.h
+++ b/test/decisions/checkedscheduler.h
@@ -8,8 +8,8 @@
 
 namespace guavavalve::testing {
 
-/// Passes every call on to a scheduler and keeps its own plain books of what the decisions mean.
-/// After every decision it holds them against the invariants; `broken` tells of the first breach.
+/// Forwards every call to a scheduler and accounts for its decisions independently. Checks the
+/// invariants with every decision; `violation` describes the first one that was broken.
 class CheckedScheduler
 {
 public:
@@ -28,15 +28,15 @@
     void targetChanged(const TargetInfo &info, Instant now)
     {
         this->targets[info.id] = info;
-        this->open.insert(info.id);
+        this->acceptingTargets.insert(info.id);
         if (info.departing)
-            this->open.erase(info.id);
+            this->acceptingTargets.erase(info.id);
         this->scheduler.targetChanged(info, now);
     }
 
     void targetLost(TargetId id, Instant now)
     {
-        this->open.erase(id);
+        this->acceptingTargets.erase(id);
         this->scheduler.targetLost(id, now);
     }
 
@@ -88,7 +88,8 @@
     {
         const bool wasWaiting = this->scheduler.cancel(id, now);
         if (wasWaiting != (this->waiting.erase(id) == 1))
-            this->breach("cancel and the books differ about what waits");
+            this->recordViolation(
+                "cancel() disagrees with the accounting about whether the task waits");
         if (this->placed.count(id) != 0)
             this->cancelled.insert(id);
         return wasWaiting;
@@ -117,14 +118,14 @@
     std::map<TaskId, TaskRequest> waiting;
     std::map<TaskId, Place> placed;
     std::map<TargetId, TargetInfo> targets;
-    std::set<TargetId> open; ///< announced, staying
-    std::map<TargetId, Resources> onTarget;
-    std::map<TeamId, Resources> ofTeam;
+    std::set<TargetId> acceptingTargets; ///< announced and not departing
+    std::map<TargetId, Resources> placedOnTarget;
+    std::map<TeamId, Resources> placedByTeam;
     std::map<TeamId, Resources> limits;
     std::string violation;
 
 private:
-    void breach(const std::string &text)
+    void recordViolation(const std::string &text)
     {
         if (this->violation.empty())
             this->violation = text;
@@ -135,8 +136,8 @@
         const auto task = this->placed.find(id);
         if (task == this->placed.end())
             return;
-        this->onTarget[task->second.target] -= task->second.charge;
-        this->ofTeam[task->second.request.team] -= task->second.charge;
+        this->placedOnTarget[task->second.target] -= task->second.charge;
+        this->placedByTeam[task->second.request.team] -= task->second.charge;
         this->placed.erase(task);
         this->cancelled.erase(id);
     }
@@ -145,40 +146,40 @@
     {
         if (decision.kind == DecisionKind::Refuse) {
             if (this->waiting.erase(decision.task) != 1)
-                this->breach("a task was refused that did not wait");
+                this->recordViolation("a task that did not wait was refused");
             return;
         }
         if (decision.kind == DecisionKind::Place)
             return this->place(decision);
         const auto task = this->placed.find(decision.task);
         if (task == this->placed.end())
-            return this->breach("room was made with a task that is not placed");
+            return this->recordViolation("a task that is not placed was preempted");
         if (!task->second.request.repeatable)
-            this->breach("a task that is not repeatable was ended to make room");
+            this->recordViolation("a task that is not repeatable was preempted");
     }
 
     void place(const Decision &decision)
     {
         const auto task = this->waiting.find(decision.task);
         if (task == this->waiting.end())
-            return this->breach("a task was placed that did not wait");
-        if (this->open.count(decision.target) == 0)
-            this->breach("a task was placed on a target that takes nothing new");
+            return this->recordViolation("a task that did not wait was placed");
+        if (this->acceptingTargets.count(decision.target) == 0)
+            this->recordViolation("a task was placed on a target that accepts no new tasks");
         const TaskRequest request = task->second;
         this->waiting.erase(task);
         this->placed[decision.task] = Place{request, decision.charge, decision.target, this->round};
-        Resources &used = this->onTarget[decision.target];
+        Resources &used = this->placedOnTarget[decision.target];
         used += decision.charge;
         if (!used.fitsInto(this->targets[decision.target].total))
-            this->breach("a target was given more than it has");
-        Resources &teamUsed = this->ofTeam[request.team];
+            this->recordViolation("the tasks placed on a target exceed its capacity");
+        Resources &teamUsed = this->placedByTeam[request.team];
         teamUsed += decision.charge;
         const auto limit = this->limits.find(request.team);
         if (limit == this->limits.end() || !teamUsed.fitsInto(limit->second))
-            this->breach("a team was taken over its upper limit");
+            this->recordViolation("a placement exceeds the upper limit of its team");
     }
 
-    /// All of a gang that is not over is placed by one round of decisions, or none of it.
+    /// Checks that one decide() places either all unfinished tasks of a gang or none.
     void checkGangs(const std::vector<Decision> &decisions)
     {
         std::set<JobId> jobs;
@@ -190,7 +191,7 @@
         }
         for (const auto &[id, request] : this->waiting) {
             if (request.workClass == WorkClass::Gang && jobs.count(request.job) != 0)
-                this->breach("a gang was placed in part");
+                this->recordViolation("a gang was placed only partially");
         }
     }
 
--- a/test/decisions/firstfittest.cpp
+++ b/test/decisions/firstfittest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("first fit keeps room and limits and frees both at an end", "[firstfit]")
+TEST_CASE("first fit respects limits and reuses the resources of ended tasks", "[firstfit]")
 {
     FirstFitScheduler scheduler;
     prepare(scheduler, 3000);
@@ -51,7 +51,7 @@
     CHECK(decisions.back().task == TaskId(2));
 }
 
-TEST_CASE("first fit places a gang whole or not at all", "[firstfit]")
+TEST_CASE("first fit places all tasks of a gang at once or none", "[firstfit]")
 {
     FirstFitScheduler scheduler;
     prepare(scheduler, unlimitedAmount);
--- a/test/decisions/propertytest.cpp
+++ b/test/decisions/propertytest.cpp
@@ -13,7 +13,7 @@
 constexpr int steps = 2000;
 
 template<typename Kind>
-void keepInvariants(std::uint32_t seed, int stepCount)
+void checkInvariants(std::uint32_t seed, int stepCount)
 {
     Kind scheduler;
     RandomCell cell(scheduler, seed);
@@ -35,14 +35,14 @@
 
 } // namespace
 
-TEST_CASE("no random sequence of events breaks an invariant of the fair scheduler", "[property]")
+TEST_CASE("random events break no invariant of the fair scheduler", "[property]")
 {
     for (std::uint32_t seed = 1; seed <= seeds; ++seed)
-        keepInvariants<FairScheduler>(seed, steps);
+        checkInvariants<FairScheduler>(seed, steps);
 }
 
-TEST_CASE("no random sequence of events breaks an invariant of the first fit", "[property]")
+TEST_CASE("random events break no invariant of the first-fit scheduler", "[property]")
 {
     for (std::uint32_t seed = 1; seed <= 5; ++seed)
-        keepInvariants<FirstFitScheduler>(seed, 1000);
+        checkInvariants<FirstFitScheduler>(seed, 1000);
 }
--- a/test/decisions/randomcell.h
+++ b/test/decisions/randomcell.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve::testing {
 
-/// A small cell to which anything may happen in any order, from one seed.
+/// A small cell with random events in random order, determined by one seed.
 class RandomCell
 {
 public:
@@ -19,13 +19,13 @@
             this->announce(id);
     }
 
-    /// One event, then one round of decisions.
+    /// Applies one random event, then decides.
     void step()
     {
         this->now += Microseconds(this->below(200000));
-        this->event();
+        this->applyRandomEvent();
         for (const Decision &decision : this->checked.decide(this->now))
-            this->follow(decision);
+            this->execute(decision);
     }
 
     CheckedScheduler checked;
@@ -37,7 +37,7 @@
         return std::uniform_int_distribution<std::uint32_t>(0, bound - 1)(this->random);
     }
 
-    void event()
+    void applyRandomEvent()
     {
         switch (this->below(16)) {
         case 0:
@@ -88,7 +88,8 @@
         target.rack = static_cast<std::uint16_t>(this->below(6));
         target.departing = this->below(8) == 0;
         target.total = Resources{{4000 + 4000 * (id % 4), 16000, id % 3, 8, 64}};
-        // What a target has may change under what it runs: then it is no fault to be over it.
+        // The capacity stays as it was: if it shrank below what runs, the target would exceed it
+        // through no fault of the scheduler.
         const auto before = this->checked.targets.find(target.id);
         if (before != this->checked.targets.end())
             target.total = before->second.total;
@@ -159,8 +160,8 @@
         }
     }
 
-    /// What the controller and the targets do about a decision, now or much later.
-    void follow(const Decision &decision)
+    /// Acts on a decision as the controller and the targets would; a stop may be left undone.
+    void execute(const Decision &decision)
     {
         if (decision.kind == DecisionKind::Place && this->below(20) == 0)
             this->checked.placementRejected(decision.task, this->now);
--- a/test/decisions/replaytest.cpp
+++ b/test/decisions/replaytest.cpp
@@ -23,8 +23,8 @@
     CHECK(report.firstDifference.empty());
     CHECK(report.outcomes.size() >= 7);
     for (const ReplayOutcome &outcome : report.outcomes) {
-        INFO(outcome.measure << " is " << outcome.value << ", stated " << outcome.atLeast << " to "
-                             << outcome.atMost);
+        INFO(outcome.measure << " is " << outcome.value << ", expected " << outcome.atLeast
+                             << " to " << outcome.atMost);
         CHECK(outcome.met());
     }
 }
@@ -89,7 +89,7 @@
     CHECK(report.firstDifference.empty());
 }
 
-TEST_CASE("a trace that cannot be read is an error with its line", "[trace]")
+TEST_CASE("a malformed trace is rejected as an invalid argument", "[trace]")
 {
     for (const char *bad : {"", "{", "{\"e\":\"decide\",\"t\":1,\"d\":[]}",
                             "{\"e\":\"trace\",\"version\":9,\"scheduler\":\"fair\"}",
--- a/test/decisions/shardedtest.cpp
+++ b/test/decisions/shardedtest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("no random sequence of events breaks an invariant over several shards", "[sharded]")
+TEST_CASE("random events break no invariant of the sharded scheduler", "[sharded]")
 {
     for (std::uint32_t seed = 100; seed < 120; ++seed) {
         ShardedScheduler scheduler(3, makeFair);
@@ -53,9 +53,9 @@
     }
 }
 
-// All of a team's work falls into one shard. Its limit over the whole fleet must still be of use
-// to it, and still hold.
-TEST_CASE("budget that other shards do not use moves to where the team waits", "[sharded]")
+// Guards against a team that can use only one shard's budget: all its work is one job and so falls
+// into one shard. It must be able to use its whole limit, and not exceed it.
+TEST_CASE("unused budget moves to the shard where the team has waiting tasks", "[sharded]")
 {
     const Instant now{std::chrono::seconds(1)};
     ShardedScheduler scheduler(4, makeFair);
@@ -68,7 +68,7 @@
     addTargets(scheduler, 16, now);
     for (std::uint64_t id = 1; id <= 30; ++id) {
         TaskRequest task = smallTask(id, 1);
-        task.job = JobId(7); // one job: one shard
+        task.job = JobId(7); // all tasks in one shard
         REQUIRE_FALSE(scheduler.submit(task, now).has_error());
     }
     std::vector<Decision> decisions;
@@ -81,9 +81,10 @@
     CHECK(decisions.size() >= 11);
 }
 
-// Each shard's part of a small limit is less than one task. The task must neither be refused,
-// since the whole limit allows it, nor wait for ever.
-TEST_CASE("a task larger than a shard's part of the limit starts", "[sharded]")
+// Guards against tasks larger than a shard's budget: each shard's share of a small limit is less
+// than one task. The task must neither be refused, since the total limit allows it, nor wait
+// forever.
+TEST_CASE("a task larger than one shard's budget starts within the team's limit", "[sharded]")
 {
     const Instant now{std::chrono::seconds(1)};
     ShardedScheduler scheduler(8, makeFair);
@@ -104,9 +105,9 @@
     CHECK(decisions.size() == 2);
 }
 
-// Several threads submit, decide and end at the same time. Nothing may be placed twice or be
-// lost, and no team may pass its limit.
-TEST_CASE("threads decide in different shards at the same time", "[sharded]")
+// Guards against races between threads that submit, decide and end at the same time: no task may
+// be placed twice or lost, and no team may exceed its limit.
+TEST_CASE("concurrent threads neither lose a task nor place one twice", "[sharded]")
 {
     const Instant now{std::chrono::seconds(1)};
     constexpr std::uint32_t threads = 4;
@@ -131,7 +132,7 @@
         int idle = 0;
         while (submitting > 0 || idle < 50) {
             scheduler.decideShard(thread, now, mine);
-            // What others submit until their end has to be decided about as well.
+            // Other threads may submit into this shard until they are done.
             idle = submitting == 0 && ended == mine.size() ? idle + 1 : 0;
             for (; ended < mine.size(); ++ended)
                 scheduler.taskEnded(mine[ended].task, AttemptOutcome::Succeeded, now);
--- a/test/decisions/smallcell.h
+++ b/test/decisions/smallcell.h
@@ -8,8 +8,8 @@
 
 namespace guavavalve::testing {
 
-/// A fair scheduler with a few equal targets and teams, a clock to move and short ways to say
-/// what happens. Every decision is checked against the invariants.
+/// A fair scheduler with a few equal targets and teams, a manual clock and short helpers for
+/// events. Every decision is checked against the invariants.
 class SmallCell
 {
 public:
@@ -40,7 +40,7 @@
         this->checked.targetChanged(target, this->now);
     }
 
-    /// A task of one slot and as much memory as processors.
+    /// A task of one slot that needs as many MB of memory as thousandths of a core.
     TaskRequest task(std::uint32_t team, WorkClass workClass, std::int64_t milliCores)
     {
         TaskRequest request;
@@ -77,16 +77,16 @@
 
     std::vector<Decision> decide() { return this->checked.decide(this->now); }
 
-    /// Lets time pass in steps, calling decide() at each and \a each before it; what is asked to
-    /// end ends and waits again.
-    std::vector<Decision> run(Microseconds time, const std::function<void()> &each = {})
+    /// Advances the clock in steps; at each it calls \a beforeStep, then decide(). Tasks that are
+    /// told to end are requeued, if `targetsObeyStops`.
+    std::vector<Decision> run(Microseconds time, const std::function<void()> &beforeStep = {})
     {
         std::vector<Decision> all;
         const Instant end = this->now + time;
         while (this->now < end) {
             this->now += std::chrono::milliseconds(10);
-            if (each)
-                each();
+            if (beforeStep)
+                beforeStep();
             for (const Decision &decision : this->decide()) {
                 all.push_back(decision);
                 if (this->targetsObeyStops
@@ -120,7 +120,7 @@
     CheckedScheduler checked;
     Policy policy;
     Instant now{std::chrono::seconds(100)};
-    bool targetsObeyStops = true; ///< targets end what they are asked to end
+    bool targetsObeyStops = true; ///< targets end the tasks they are told to end
 
 private:
     std::uint64_t nextId = 1;
