--- a/bench/decisions/trial.cpp
+++ b/bench/decisions/trial.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Microseconds sampleEvery = std::chrono::seconds(1);
+constexpr Microseconds samplingInterval = std::chrono::seconds(1);
 /// Delay between the measurement of usage and its report to the scheduler.
 constexpr Microseconds usageLag = std::chrono::seconds(2);
 /// Run time of a task on a failing target.
-constexpr Microseconds failureTime = std::chrono::milliseconds(20);
+constexpr Microseconds failingRunTime = std::chrono::milliseconds(20);
 constexpr Microseconds checkpointTime = std::chrono::milliseconds(500);
 
 Resources scaledSize(Resources size, double factor)
@@ -57,7 +57,7 @@
         this->jobsPerTick.push_back(trialSettings.load / busiest * kind.loadFraction / demand
                                     * std::chrono::duration<double>(trialSettings.tick).count());
     }
-    this->realUse.resize(cell.targets.size() + 1);
+    this->actualUse.resize(cell.targets.size() + 1);
     for (const TargetInfo &target : cell.targets) {
         if (this->uniform() < trialSettings.failingTargets)
             this->failing.insert(target.id);
@@ -111,9 +111,9 @@
         }
         SimulatedTask &task = this->tasks[request.id];
         task.request = request;
-        task.real = scaledSize(kind.need, 0.9 + 0.2 * this->uniform());
+        task.actualNeed = scaledSize(kind.need, 0.9 + 0.2 * this->uniform());
         if (!this->settings.wrongSizes)
-            task.real = kind.need;
+            task.actualNeed = kind.need;
         task.runTime = Microseconds(static_cast<std::int64_t>(run * 1e6));
         task.submittedAt = this->now;
     }
@@ -130,9 +130,9 @@
 
 void Trial::endAttempts()
 {
-    while (!this->timeline.empty() && this->timeline.top().at <= this->now) {
-        const TimedEvent timed = this->timeline.top();
-        this->timeline.pop();
+    while (!this->attemptEnds.empty() && this->attemptEnds.top().at <= this->now) {
+        const TimedEvent timed = this->attemptEnds.top();
+        this->attemptEnds.pop();
         const auto item = this->tasks.find(timed.task);
         if (item == this->tasks.end() || item->second.attempt != timed.attempt
             || item->second.target == TargetId::None)
@@ -140,7 +140,7 @@
         SimulatedTask &task = item->second;
         const bool fails = this->failing.count(task.target) != 0;
         const bool done = !fails && task.placedAt + task.runTime <= this->now;
-        this->realUse[idValue(task.target)] -= task.real;
+        this->actualUse[idValue(task.target)] -= task.actualNeed;
         task.target = TargetId::None;
         if (done) {
             this->timed([&] {
@@ -158,15 +158,16 @@
 
 void Trial::reportUsage()
 {
-    while (!this->reports.empty() && this->reports.top().at <= this->now) {
-        const TimedEvent timed = this->reports.top();
-        this->reports.pop();
+    while (!this->usageReports.empty() && this->usageReports.top().at <= this->now) {
+        const TimedEvent timed = this->usageReports.top();
+        this->usageReports.pop();
         const auto item = this->tasks.find(timed.task);
         if (item == this->tasks.end() || item->second.attempt != timed.attempt
             || item->second.target == TargetId::None)
             continue;
         this->timed([&] {
-            this->scheduler.usageReported(timed.task, item->second.real, this->now - usageLag);
+            this->scheduler.usageReported(timed.task, item->second.actualNeed,
+                                          this->now - usageLag);
         });
     }
 }
@@ -196,12 +197,13 @@
         task.target = decision.target;
         task.placedAt = this->now;
         ++task.attempt;
-        this->realUse[idValue(task.target)] += task.real;
+        this->actualUse[idValue(task.target)] += task.actualNeed;
         const bool fails = this->failing.count(task.target) != 0;
-        this->timeline.push(TimedEvent{this->now + (fails ? failureTime : task.runTime),
-                                       decision.task, task.attempt});
+        this->attemptEnds.push(TimedEvent{this->now + (fails ? failingRunTime : task.runTime),
+                                          decision.task, task.attempt});
         if (task.runTime > usageLag * 2) {
-            this->reports.push(TimedEvent{this->now + usageLag * 2, decision.task, task.attempt});
+            this->usageReports.push(
+                TimedEvent{this->now + usageLag * 2, decision.task, task.attempt});
         }
         if (!this->measuring)
             return;
@@ -214,10 +216,10 @@
     }
     case DecisionKind::Checkpoint:
     case DecisionKind::Stop:
-        // The work done so far is kept; the rest runs later, with the cost of the checkpoint.
+        // The work done so far is kept; the rest runs later, with the checkpoint as overhead.
         task.runTime -= std::min(task.runTime, this->now - task.placedAt);
         task.runTime += checkpointTime * 2;
-        this->timeline.push(TimedEvent{this->now + checkpointTime, decision.task, task.attempt});
+        this->attemptEnds.push(TimedEvent{this->now + checkpointTime, decision.task, task.attempt});
         return;
     case DecisionKind::Refuse:
         this->result.refused += this->measuring ? 1 : 0;
@@ -238,7 +240,7 @@
     std::size_t over = 0;
     Resources useful; // use beyond a target's capacity does not count
     for (const TargetInfo &target : this->deployment.targets) {
-        const Resources &used = this->realUse[idValue(target.id)];
+        const Resources &used = this->actualUse[idValue(target.id)];
         over += used.fitsInto(target.total) ? 0 : 1;
         for (std::size_t i = 0; i < resourceKindCount; ++i)
             useful.amounts[i] += std::min(used.amounts[i], target.total.amounts[i]);
@@ -275,16 +277,16 @@
         this->now += this->settings.tick;
         this->measuring = this->now - this->start >= seconds(this->settings.warmUpSeconds);
         const std::uint64_t idBefore = this->nextId;
-        const std::size_t eventsBefore = this->timeline.size() + this->reports.size();
+        const std::size_t eventsBefore = this->attemptEnds.size() + this->usageReports.size();
         this->submitArrivals();
         this->endAttempts();
         this->reportUsage();
         const bool hasEvents = idBefore != this->nextId
-            || eventsBefore != this->timeline.size() + this->reports.size();
+            || eventsBefore != this->attemptEnds.size() + this->usageReports.size();
         if (hasEvents || this->scheduler.nextWakeup() <= this->now)
             this->decide();
         if (this->now >= nextSample) {
-            nextSample += sampleEvery;
+            nextSample += samplingInterval;
             this->sample();
         }
         const std::chrono::duration<double> wall = std::chrono::steady_clock::now() - wallStart;
--- a/bench/decisions/trial.h
+++ b/bench/decisions/trial.h
@@ -61,7 +61,7 @@
     struct SimulatedTask
     {
         TaskRequest request;
-        Resources real;
+        Resources actualNeed;
         Microseconds runTime{0};
         Instant submittedAt{};
         Instant placedAt{};
@@ -103,9 +103,9 @@
     std::vector<double> jobsPerTick;
     std::unordered_map<TaskId, SimulatedTask> tasks;
     std::unordered_set<TargetId> failing;
-    Timeline timeline;
-    Timeline reports;
-    std::vector<Resources> realUse; ///< by target
+    Timeline attemptEnds; ///< times at which attempts end, if not superseded
+    Timeline usageReports; ///< times at which usage is reported
+    std::vector<Resources> actualUse; ///< by target
     TrialResult result;
     std::uint64_t samples = 0;
     std::uint64_t packingSamples = 0;
--- a/src/decisions/admission.cpp
+++ b/src/decisions/admission.cpp
@@ -26,8 +26,8 @@
         totalNeed.amounts[kind] = request.need.amounts[kind] * gangSize;
     if (!totalNeed.fitsInto(team.policy.limit) && !totalNeed.fitsInto(team.policy.totalLimit)) {
         return failure(ErrorCode::LimitExceeded,
-                       "the work alone exceeds its team's upper limit; submit less at a time or "
-                       "have the limit raised");
+                       "the task or gang alone exceeds its team's upper limit; submit less at a "
+                       "time or have the limit raised");
     }
     if (ledger.fleet.empty())
         return boost::outcome_v2::success(); // no target has announced itself yet
@@ -93,7 +93,7 @@
                        "a job has at least one task, and all tasks of a gang must have the "
                        "same team, need and job size");
     if (ledger.findTask(request.id) != noIndex)
-        return failure(ErrorCode::Conflict, "a task with this identity already exists");
+        return failure(ErrorCode::Conflict, "a task with this ID already exists");
     const TeamRecord &team = ledger.teams[teamIndex];
     if (team.waiting[static_cast<std::size_t>(request.workClass)]
         >= ledger.policy.of(request.workClass).maxWaiting) {
--- a/src/decisions/decisionlog.h
+++ b/src/decisions/decisionlog.h
@@ -12,7 +12,7 @@
 class DecisionLog
 {
 public:
-    explicit DecisionLog(std::size_t capacity);
+    explicit DecisionLog(std::size_t maxRecords);
 
     /// Appends the decision to \a out and records it.
     void emit(const Decision &decision, std::uint32_t considered, Instant now,
--- a/src/decisions/decisionrecord.h
+++ b/src/decisions/decisionrecord.h
@@ -15,7 +15,8 @@
     TaskId task = TaskId::None;
     Instant at{};
     TargetId target = TargetId::None;
-    std::uint32_t considered = 0; ///< number of candidate targets that were compared
+    /// Number of targets that were compared; for a gang, the number of its tasks.
+    std::uint32_t considered = 0;
     DecisionKind kind = DecisionKind::Place;
     Reason reason = Reason::None;
 };
--- a/src/decisions/decisions.h
+++ b/src/decisions/decisions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// The scheduler: a pure, deterministic function from events with their times to decisions.
+/// The scheduler: pure and deterministic. It maps timestamped events to decisions.
 
 #include "core/attemptoutcome.h"
 #include "decisions/decision.h"
--- a/src/decisions/explanation.h
+++ b/src/decisions/explanation.h
@@ -17,7 +17,9 @@
     State state = State::Unknown;
     Reason reason = Reason::None;
     TargetId target = TargetId::None; ///< of a placed task
-    std::uint32_t considered = 0; ///< targets that were compared at the last decision
+    /// Number of targets that were compared at the last decision; for a placed gang, the number of
+    /// tasks that were placed together.
+    std::uint32_t considered = 0;
     /// Of a waiting task: the waiting tasks of its team and class, including itself.
     std::uint32_t waitingInClass = 0;
     Instant at{}; ///< time of the last decision about it
--- a/src/decisions/fairscheduler.cpp
+++ b/src/decisions/fairscheduler.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::size_t decisionLogCapacity = 16384;
+constexpr std::size_t decisionLogCapacity = 16384; // records
 /// One of the three maintenance steps runs per interval, in turn: running all at once would make a
 /// few decisions much slower than the others.
 constexpr Microseconds maintenanceInterval = std::chrono::milliseconds(20);
@@ -43,7 +43,7 @@
     Deadlines deadlines;
     Instant lastMaintenance{};
     MaintenanceStep nextMaintenanceStep = MaintenanceStep::Headroom;
-    bool moreToPlace = false;
+    bool moreToPlace = false; ///< the last decide() stopped at its limit with work left
     bool changed = false; ///< an event arrived since the last decide()
 
     bool needsMaintenance() const
@@ -334,7 +334,7 @@
 Instant FairScheduler::nextWakeup() const
 {
     if (this->d->moreToPlace || this->d->changed)
-        return this->d->lastMaintenance;
+        return this->d->lastMaintenance; // not in the future: decide() is due at once
     Instant next = std::min(this->d->deadlines.next(), this->d->quarantine.nextProbe());
     next = std::min(next, this->d->preemptor.nextEscalation());
     if (this->d->needsMaintenance())
--- a/src/decisions/firstfitscheduler.cpp
+++ b/src/decisions/firstfitscheduler.cpp
@@ -58,7 +58,7 @@
     if (team == this->teams.end() || !team->second.configured)
         return failure(ErrorCode::NotFound, "the team is not configured; ask an operator");
     if (this->tasks.count(request.id) != 0)
-        return failure(ErrorCode::Conflict, "a task with this identity already exists");
+        return failure(ErrorCode::Conflict, "a task with this ID already exists");
     if (!this->fitsSomewhere(request))
         return failure(ErrorCode::NeverFits, "no announced target is large enough for the task");
     if (!request.need.fitsInto(team->second.policy.limit))
--- a/src/decisions/firstfitscheduler.h
+++ b/src/decisions/firstfitscheduler.h
@@ -15,8 +15,8 @@
 class FirstFitScheduler : public Scheduler
 {
 public:
-    /// \a lookAhead is the maximum number of waiting tasks that one decide() considers.
-    explicit FirstFitScheduler(std::size_t lookAhead = 100000);
+    /// \a lookAheadTasks is the maximum number of waiting tasks that one decide() considers.
+    explicit FirstFitScheduler(std::size_t lookAheadTasks = 100000);
 
     void applyPolicy(const Policy &policy, Instant now) override;
     void targetChanged(const TargetInfo &target, Instant now) override;
--- a/src/decisions/policy.h
+++ b/src/decisions/policy.h
@@ -31,6 +31,7 @@
 
     static std::array<ClassPolicy, workClassCount> defaultClasses()
     {
+        // preemptible, maxShare, maxWaiting, preemptionDelay
         ClassPolicy prompt{false, 0.8, 200000, Milliseconds(200)};
         ClassPolicy service{false, 1.0, 200000, Milliseconds(10000)};
         ClassPolicy batch{true, 1.0, 200000, Milliseconds(60000)};
--- a/src/decisions/replayaccounting.cpp
+++ b/src/decisions/replayaccounting.cpp
@@ -14,7 +14,7 @@
 
 void ReplayAccounting::submitted(const TaskRequest &task, Instant now)
 {
-    Entry &entry = this->tasks[task.id];
+    TaskEntry &entry = this->tasks[task.id];
     entry.team = task.team;
     entry.prompt = task.workClass == WorkClass::Prompt;
     entry.gang = task.workClass == WorkClass::Gang;
@@ -35,7 +35,7 @@
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
         return;
-    Entry &entry = item->second;
+    TaskEntry &entry = item->second;
     this->placedOnTarget[entry.target] -= entry.charge;
     this->placedByTeam[entry.team] -= entry.charge;
     entry.target = TargetId::None;
@@ -46,7 +46,7 @@
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
         return;
-    const Entry first = item->second;
+    const TaskEntry first = item->second;
     this->released(task);
     if (!first.gang)
         return;
@@ -56,7 +56,8 @@
     }
 }
 
-void ReplayAccounting::place(Entry &entry, TargetId target, const Resources &charge, Instant now)
+void ReplayAccounting::place(TaskEntry &entry, TargetId target, const Resources &charge,
+                             Instant now)
 {
     entry.placedAt = now;
     entry.target = target;
@@ -67,7 +68,7 @@
 
 void ReplayAccounting::decided(const Decision &decision, Instant now)
 {
-    Entry &entry = this->tasks[decision.task];
+    TaskEntry &entry = this->tasks[decision.task];
     switch (decision.kind) {
     case DecisionKind::Refuse:
         ++this->refused;
@@ -85,9 +86,9 @@
         ++this->doublePlacements;
     this->place(entry, decision.target, decision.charge, now);
     if (!this->placedOnTarget[decision.target].fitsInto(this->totals[decision.target]))
-        ++this->roomBreaches;
+        ++this->roomViolations;
     if (!this->placedByTeam[entry.team].fitsInto(this->limits[entry.team]))
-        ++this->limitBreaches;
+        ++this->limitViolations;
     if (entry.prompt && !entry.started) {
         const std::chrono::duration<double, std::milli> wait = now - entry.submittedAt;
         this->promptWaitsMs.push_back(wait.count());
@@ -100,8 +101,8 @@
     measures["placed"] = static_cast<double>(this->placed);
     measures["refused"] = static_cast<double>(this->refused);
     measures["preempted"] = static_cast<double>(this->preempted);
-    measures["room-breaches"] = static_cast<double>(this->roomBreaches);
-    measures["limit-breaches"] = static_cast<double>(this->limitBreaches);
+    measures["room-breaches"] = static_cast<double>(this->roomViolations);
+    measures["limit-breaches"] = static_cast<double>(this->limitViolations);
     measures["double-placements"] = static_cast<double>(this->doublePlacements);
     std::vector<double> waits = this->promptWaitsMs;
     std::sort(waits.begin(), waits.end());
--- a/src/decisions/replayaccounting.h
+++ b/src/decisions/replayaccounting.h
@@ -14,7 +14,7 @@
 namespace guavavalve::internal {
 
 /// Accounts for placements independently of the scheduler, so that a replay does not check a trace
-/// against the scheduler's own figures.
+/// against the scheduler's own figures. Its event methods are called in the order of the trace.
 class ReplayAccounting
 {
 public:
@@ -31,7 +31,7 @@
     void report(std::map<std::string, double> &measures) const;
 
 private:
-    struct Entry
+    struct TaskEntry
     {
         TeamId team = TeamId::None;
         bool prompt = false;
@@ -44,9 +44,9 @@
         Resources charge;
     };
 
-    void place(Entry &entry, TargetId target, const Resources &charge, Instant now);
+    void place(TaskEntry &entry, TargetId target, const Resources &charge, Instant now);
 
-    std::unordered_map<TaskId, Entry> tasks;
+    std::unordered_map<TaskId, TaskEntry> tasks;
     std::unordered_map<TargetId, Resources> totals;
     std::unordered_map<TargetId, Resources> placedOnTarget;
     std::unordered_map<TeamId, Resources> placedByTeam;
@@ -55,8 +55,8 @@
     std::uint64_t placed = 0;
     std::uint64_t refused = 0;
     std::uint64_t preempted = 0;
-    std::uint64_t roomBreaches = 0;
-    std::uint64_t limitBreaches = 0;
+    std::uint64_t roomViolations = 0;
+    std::uint64_t limitViolations = 0;
     std::uint64_t doublePlacements = 0;
 };
 
--- a/src/decisions/replaytrace.cpp
+++ b/src/decisions/replaytrace.cpp
@@ -85,7 +85,7 @@
     for (std::size_t i = 0; i < decisions.size(); ++i) {
         const Json actual = toJson(decisions[i]);
         if (i >= recorded.size())
-            this->recordDifference("decision " + actual.dump() + " is new");
+            this->recordDifference("decision " + actual.dump() + " was not recorded");
         else if (actual != recorded.at(i))
             this->recordDifference("decision was " + recorded.at(i).dump() + ", is now "
                                    + actual.dump());
--- a/src/decisions/scheduler.h
+++ b/src/decisions/scheduler.h
@@ -20,9 +20,9 @@
 /// decisions; it uses no clock, thread or I/O. Times must not decrease. Not thread safe unless a
 /// subclass says so.
 ///
-/// A task waits (submit), is placed (decide), and then has ended (taskEnded) or waits again
-/// (requeue, placementRejected). A placed task occupies its target and counts against its team's
-/// limit until one of these calls.
+/// A task waits after submit(), is placed by decide(), and then ends (taskEnded()) or waits again
+/// (requeue(), placementRejected()). A placed task occupies its target and counts against its
+/// team's limit until one of these calls.
 class Scheduler
 {
 public:
@@ -41,7 +41,7 @@
     /// The target takes no new tasks. Those placed on it stay counted until reported as ended.
     virtual void targetLost(TargetId target, Instant now) = 0;
 
-    /// Queues a task. Errors: NotFound (no such team), Conflict (the identity is in use),
+    /// Queues a task. Errors: NotFound (no such team), Conflict (the ID is in use),
     /// InvalidArgument, NeverFits, LimitExceeded, DeadlineExceeded; the task is then not run.
     virtual Result<void> submit(const TaskRequest &task, Instant now) = 0;
 
--- a/src/decisions/shardedscheduler.cpp
+++ b/src/decisions/shardedscheduler.cpp
@@ -16,8 +16,9 @@
     return value ^ (value >> 32U);
 }
 
-/// Splits \a limit into one budget for each shard. Each budget covers the shard's \a use; the rest
-/// is distributed by \a weights. The budgets never add up to more than the limit.
+/// Splits \a limit into one budget for each shard. Each budget covers the shard's \a use if the
+/// limit allows it; the rest is distributed by \a weights. The budgets never add up to more than
+/// the limit.
 std::vector<std::int64_t> splitLimit(std::int64_t limit, const std::vector<std::int64_t> &use,
                                      const std::vector<std::uint32_t> &weights)
 {
@@ -241,8 +242,8 @@
 Result<void> ShardedScheduler::submit(const TaskRequest &task, Instant now)
 {
     if (this->shardOf(task.id) != nullptr)
-        return failure(ErrorCode::Conflict, "a task with this identity already exists");
-    // Keeps a gang in one shard: the id of a job equals that of its first task.
+        return failure(ErrorCode::Conflict, "a task with this ID already exists");
+    // Keeps a gang in one shard: the ID of a job equals that of its first task.
     const std::uint32_t homeIndex =
         static_cast<std::uint32_t>(hashOf(idValue(task.job)) % this->shardCount());
     const std::uint32_t first = this->taskShards->find(TaskId(idValue(task.job)), homeIndex);
