--- a/src/decisions/decisionrecord.h
+++ b/src/decisions/decisionrecord.h
@@ -9,13 +9,14 @@
 
 namespace guavavalve::internal {
 
-/// What is kept of one decision.
+/// One entry of the DecisionLog.
 struct DecisionRecord
 {
     TaskId task = TaskId::None;
     Instant at{};
     TargetId target = TargetId::None;
-    std::uint32_t considered = 0; ///< targets weighed
+    /// Number of targets that were compared; for a gang, the number of its tasks.
+    std::uint32_t considered = 0;
     DecisionKind kind = DecisionKind::Place;
     Reason reason = Reason::None;
 };
--- a/src/decisions/decisions.h
+++ b/src/decisions/decisions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// The scheduler: pure and deterministic. Events and a time in, decisions out.
+/// The scheduler: pure and deterministic. It maps timestamped events to decisions.
 
 #include "core/attemptoutcome.h"
 #include "decisions/decision.h"
--- a/src/decisions/policy.h
+++ b/src/decisions/policy.h
@@ -11,14 +11,14 @@
 
 namespace guavavalve {
 
-/// Everything that operators set about decisions. Applied whole; a team that is missing keeps
-/// what it has placed and gets nothing new.
+/// All operator settings of the scheduler. A policy replaces the previous one completely: a team
+/// that it does not list keeps its placed tasks and gets no new ones.
 struct Policy
 {
     std::vector<TeamPolicy> teams;
     std::array<ClassPolicy, workClassCount> classes = defaultClasses();
     QuarantinePolicy quarantine;
-    bool correctSizes = true; ///< learn real sizes from usage, by team and shape
+    bool correctSizes = true; ///< learn actual sizes from usage, by team and shape
 
     ClassPolicy &of(WorkClass workClass)
     {
@@ -31,6 +31,7 @@
 
     static std::array<ClassPolicy, workClassCount> defaultClasses()
     {
+        // preemptible, maxShare, maxWaiting, preemptionDelay
         ClassPolicy prompt{false, 0.8, 200000, Milliseconds(200)};
         ClassPolicy service{false, 1.0, 200000, Milliseconds(10000)};
         ClassPolicy batch{true, 1.0, 200000, Milliseconds(60000)};
--- a/src/decisions/replayaccounting.cpp
+++ b/src/decisions/replayaccounting.cpp
@@ -14,7 +14,7 @@
 
 void ReplayAccounting::submitted(const TaskRequest &task, Instant now)
 {
-    Entry &entry = this->tasks[task.id];
+    TaskEntry &entry = this->tasks[task.id];
     entry.team = task.team;
     entry.prompt = task.workClass == WorkClass::Prompt;
     entry.gang = task.workClass == WorkClass::Gang;
@@ -35,9 +35,9 @@
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
         return;
-    Entry &entry = item->second;
-    this->onTarget[entry.target] -= entry.charge;
-    this->ofTeam[entry.team] -= entry.charge;
+    TaskEntry &entry = item->second;
+    this->placedOnTarget[entry.target] -= entry.charge;
+    this->placedByTeam[entry.team] -= entry.charge;
     entry.target = TargetId::None;
 }
 
@@ -46,7 +46,7 @@
     const auto item = this->tasks.find(task);
     if (item == this->tasks.end() || item->second.target == TargetId::None)
         return;
-    const Entry first = item->second;
+    const TaskEntry first = item->second;
     this->released(task);
     if (!first.gang)
         return;
@@ -56,18 +56,19 @@
     }
 }
 
-void ReplayAccounting::place(Entry &entry, TargetId target, const Resources &charge, Instant now)
+void ReplayAccounting::place(TaskEntry &entry, TargetId target, const Resources &charge,
+                             Instant now)
 {
     entry.placedAt = now;
     entry.target = target;
     entry.charge = charge;
-    this->onTarget[target] += charge;
-    this->ofTeam[entry.team] += charge;
+    this->placedOnTarget[target] += charge;
+    this->placedByTeam[entry.team] += charge;
 }
 
 void ReplayAccounting::decided(const Decision &decision, Instant now)
 {
-    Entry &entry = this->tasks[decision.task];
+    TaskEntry &entry = this->tasks[decision.task];
     switch (decision.kind) {
     case DecisionKind::Refuse:
         ++this->refused;
@@ -84,10 +85,10 @@
     if (entry.target != TargetId::None)
         ++this->doublePlacements;
     this->place(entry, decision.target, decision.charge, now);
-    if (!this->onTarget[decision.target].fitsInto(this->totals[decision.target]))
-        ++this->roomBreaches;
-    if (!this->ofTeam[entry.team].fitsInto(this->limits[entry.team]))
-        ++this->limitBreaches;
+    if (!this->placedOnTarget[decision.target].fitsInto(this->totals[decision.target]))
+        ++this->roomViolations;
+    if (!this->placedByTeam[entry.team].fitsInto(this->limits[entry.team]))
+        ++this->limitViolations;
     if (entry.prompt && !entry.started) {
         const std::chrono::duration<double, std::milli> wait = now - entry.submittedAt;
         this->promptWaitsMs.push_back(wait.count());
@@ -100,8 +101,8 @@
     measures["placed"] = static_cast<double>(this->placed);
     measures["refused"] = static_cast<double>(this->refused);
     measures["preempted"] = static_cast<double>(this->preempted);
-    measures["room-breaches"] = static_cast<double>(this->roomBreaches);
-    measures["limit-breaches"] = static_cast<double>(this->limitBreaches);
+    measures["room-breaches"] = static_cast<double>(this->roomViolations);
+    measures["limit-breaches"] = static_cast<double>(this->limitViolations);
     measures["double-placements"] = static_cast<double>(this->doublePlacements);
     std::vector<double> waits = this->promptWaitsMs;
     std::sort(waits.begin(), waits.end());
