--- a/src/workflows/admissionport.h
+++ b/src/workflows/admissionport.h
@@ -11,19 +11,21 @@
 
 namespace guavavalve::workflows {
 
-/// Asks the admission service which targets may run a step. Answers come on the controller's loop.
+/// Queries the admission service for the targets that may run a step. Answers are delivered on the
+/// controller's loop.
 class AdmissionPort
 {
 public:
     virtual ~AdmissionPort() = default;
 
-    /// Names of admitted targets with their tickets, of the \a targets named.
+    /// The admitted targets of a query, as pairs of target name and ticket.
     using Admitted = std::vector<std::pair<std::string, std::string>>;
 
-    /// Instances that may be asked to put a question, each of which has one answered at a time.
+    /// Number of instances that can send queries. The service answers the queries of each instance
+    /// one at a time.
     virtual std::size_t querierCount() const = 0;
 
-    /// \a expected: what the service takes for this question once its turn has come.
+    /// \a expected: how long the service takes to process this query once it starts on it.
     virtual void ask(const StepAddress &step, const std::vector<std::string> &targets,
                      Milliseconds expected, Instant deadline, Done<Admitted> done) = 0;
 };
--- a/src/workflows/admissionquerybalancer.cpp
+++ b/src/workflows/admissionquerybalancer.cpp
@@ -6,48 +6,50 @@
 
 namespace {
 
-/// Questions are short up to this: those of steps that are over within a second take 10 to 25 ms.
-constexpr Milliseconds shortQuestion{40};
-/// And long from here: between those about single tasks (up to 150 ms) and about gangs (from 500).
-constexpr Milliseconds longQuestion{200};
-/// One in so many instances is kept for short questions alone. All the short ones together take
-/// one to two instances of 14, and of 43.
-constexpr std::size_t partForShort = 6;
-/// One in so many is kept from long questions.
-constexpr std::size_t partWithoutLong = 3;
-/// An instance that failed to answer is not asked for this long.
-constexpr Milliseconds failedPause{2000};
-/// Questions under way from one instance, below the 32 that the service lets wait.
-constexpr std::size_t maxUnderWay = 20;
-/// As long as it has answered none.
-constexpr std::size_t maxUnproved = 2;
-/// An answer that comes this much later than it should is overdue: a slow instance adds 50 ms.
+/// Queries are short up to this: those about steps that finish within a second take 10 to 25 ms.
+constexpr Milliseconds shortQuery{40};
+/// Queries above this are long: those about single tasks take up to 150 ms, those about gangs 500
+/// ms and more.
+constexpr Milliseconds longQuery{200};
+/// One in this many instances takes short queries only. All short queries together occupy one to
+/// two instances, both of 14 and of 43.
+constexpr std::size_t shortOnlyDivisor = 6;
+/// One in this many instances takes no long queries.
+constexpr std::size_t noLongDivisor = 3;
+/// An instance whose query failed gets no further ones for this long.
+constexpr Milliseconds failureBackoff{2000};
+/// Pending queries of one instance, below the 32 that the service queues.
+constexpr std::size_t maxPending = 20;
+/// Pending queries of an instance that has not answered any.
+constexpr std::size_t maxPendingUnanswered = 2;
+/// An answer is overdue this long after its expected time: a slow instance adds 50 ms.
 constexpr Milliseconds overdueAfter{100};
-/// Work that one instance may have waiting at the service: what comes later is better decided then.
-constexpr Milliseconds longestQueue{800};
+/// Work that one instance may have queued at the service. A query that would wait longer is better
+/// planned later, with newer data.
+constexpr Milliseconds maxBacklog{800};
 
-/// Instances at the head of a list of \a count that are kept from a question.
+/// Number of instances at the head of a list of \a count that are closed to a query.
 ///
-/// Guards against a short question that waits behind long ones on every instance: steps of 0.8 s
-/// waited for up to 0.7 s while all instances had a question of half a second under way, and in a
-/// full cell of 350 targets for 1 s behind questions of 0.14 s.
-std::size_t keptFrom(Milliseconds expected, std::size_t count)
+/// Guards against short queries that queue behind long ones on every instance: steps of 0.8 s
+/// waited for up to 0.7 s while every instance had a query of 0.5 s pending, and for 1 s behind
+/// queries of 0.14 s in a full cell of 350 targets.
+std::size_t closedInstances(Milliseconds expected, std::size_t count)
 {
-    if (expected > longQuestion)
-        return count / partWithoutLong;
-    return expected > shortQuestion ? count / partForShort : 0;
+    if (expected > longQuery)
+        return count / noLongDivisor;
+    return expected > shortQuery ? count / shortOnlyDivisor : 0;
 }
 
 } // namespace
 
-/// Guards against an instance that is gone or stands still while it is still held for present: a
-/// new controller had fifteen steps asked about by its predecessor, which had been frozen, and each
-/// waited 0.6 s for an answer that could not come.
-bool AdmissionQueryBalancer::mayAsk(const Load &load, Instant now)
+/// Guards against an instance that has crashed or frozen but is still listed as present: a new
+/// controller sent the queries for fifteen steps through its frozen predecessor, and each step
+/// waited 0.6 s for an answer that could not arrive.
+bool AdmissionQueryBalancer::mayQuery(const Load &load, Instant now)
 {
-    const std::size_t most = load.hasAnswered ? maxUnderWay : maxUnproved;
-    const bool isOverdue = load.underWay > 0 && now > load.busyUntil + overdueAfter;
-    return load.underWay < most && !isOverdue && load.busyUntil <= now + longestQueue;
+    const std::size_t limit = load.hasAnswered ? maxPending : maxPendingUnanswered;
+    const bool isOverdue = load.pending > 0 && now > load.busyUntil + overdueAfter;
+    return load.pending < limit && !isOverdue && load.busyUntil <= now + maxBacklog;
 }
 
 std::optional<InstanceId> AdmissionQueryBalancer::choose(const std::vector<InstanceId> &instances,
@@ -55,9 +57,9 @@
 {
     std::optional<InstanceId> best;
     Instant bestFreeAt{};
-    for (std::size_t i = keptFrom(expected, instances.size()); i < instances.size(); ++i) {
+    for (std::size_t i = closedInstances(expected, instances.size()); i < instances.size(); ++i) {
         const Load &load = this->loads[instances[i]];
-        if (!AdmissionQueryBalancer::mayAsk(load, now))
+        if (!AdmissionQueryBalancer::mayQuery(load, now))
             continue;
         const Instant freeAt = std::max(now, load.busyUntil);
         if (!best || freeAt < bestFreeAt) {
@@ -68,7 +70,7 @@
     if (best) {
         Load &load = this->loads[*best];
         load.busyUntil = bestFreeAt + expected;
-        ++load.underWay;
+        ++load.pending;
     }
     return best;
 }
@@ -82,10 +84,10 @@
 void AdmissionQueryBalancer::answered(const InstanceId &instance, bool hasFailed, Instant now)
 {
     Load &load = this->loads[instance];
-    load.underWay -= load.underWay > 0 ? 1 : 0;
+    load.pending -= load.pending > 0 ? 1 : 0;
     load.hasAnswered = !hasFailed;
     if (hasFailed)
-        load.busyUntil = now + failedPause;
+        load.busyUntil = now + failureBackoff;
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/admissionquerybalancer.h
+++ b/src/workflows/admissionquerybalancer.h
@@ -10,39 +10,39 @@
 
 namespace guavavalve::workflows {
 
-/// Decides which instance puts the next question to the admission service, which answers one
-/// question at a time for each instance that asks. Pure; not thread-safe.
+/// Chooses the instance that sends the next query to the admission service, which processes the
+/// queries of each instance one at a time. Pure; not thread-safe.
 ///
-/// A question goes to the instance whose questions will be answered first. Longer questions stay
-/// away from the first few instances in the list. An instance that has not answered yet is tried
-/// with two questions, and one whose answer is overdue gets no more until it comes.
+/// A query goes to the instance that is expected to be idle first. The first few instances in the
+/// list are closed to longer queries. An instance that has not answered yet gets two queries at
+/// most, and one whose answer is overdue gets no more until the answer arrives.
 class AdmissionQueryBalancer
 {
 public:
-    /// One of \a instances, for a question that takes \a expected once its turn has come; it counts
-    /// as asked from then on. Nothing: all have enough to ask, and the question is better decided
-    /// on again later.
+    /// Chooses one of \a instances for a query that takes \a expected to process, and counts the
+    /// query as pending there. Empty if all instances have enough pending: the query is then better
+    /// planned anew later.
     std::optional<InstanceId> choose(const std::vector<InstanceId> &instances,
                                      Milliseconds expected, Instant now);
 
-    /// When \a instance will probably have all its questions answered.
+    /// When all pending queries of \a instance are expected to be answered.
     Instant busyUntil(const InstanceId &instance) const;
 
-    /// \a instance is known to be there: it is this one.
+    /// Counts \a instance as responsive without an answer from it: it is this one.
     void trust(const InstanceId &instance) { this->loads[instance].hasAnswered = true; }
 
-    /// A question of \a instance has been answered, or has failed.
+    /// A query of \a instance has been answered or has failed.
     void answered(const InstanceId &instance, bool hasFailed, Instant now);
 
 private:
     struct Load
     {
         Instant busyUntil{};
-        std::size_t underWay = 0; ///< questions
+        std::size_t pending = 0; ///< queries
         bool hasAnswered = false;
     };
 
-    static bool mayAsk(const Load &load, Instant now);
+    static bool mayQuery(const Load &load, Instant now);
 
     std::map<InstanceId, Load> loads;
 };
--- a/src/workflows/admissions.h
+++ b/src/workflows/admissions.h
@@ -11,21 +11,21 @@
 
 namespace guavavalve::workflows {
 
-/// A target's leave to run a step.
+/// Permission for a target to run a step.
 struct Admission
 {
-    std::string ticket; ///< shown to the target with each start
+    std::string ticket; ///< presented to the target with each start
     Instant validUntil{};
 };
 
-/// What the admission service has said of one step. Whether a target may run it does not change;
-/// the ticket that proves it runs out.
+/// The admission service's answers about one step. Whether a target is admitted does not change;
+/// the ticket that proves it expires.
 struct StepAdmissions
 {
     std::map<IncarnationId, Admission> admitted;
     std::set<IncarnationId> refused;
-    std::set<IncarnationId> asked; ///< targets that questions under way name
-    Instant nextQueryAt{}; ///< not before, after one that failed
+    std::set<IncarnationId> asked; ///< targets named in pending queries
+    Instant nextQueryAt{}; ///< earliest time of the next query after a failed one
 
     const Admission *valid(IncarnationId incarnation, Instant now) const
     {
@@ -37,7 +37,7 @@
 
 using AdmissionTable = std::map<StepAddress, StepAdmissions>;
 
-/// Part of the targets asked about that were admitted, over the newest questions.
+/// Fraction of the queried targets that were admitted, as a moving average over the newest queries.
 class AdmittedFraction
 {
 public:
@@ -45,16 +45,17 @@
     {
         if (asked == 0)
             return;
-        const double part = static_cast<double>(admitted) / static_cast<double>(asked);
-        this->value = this->hasAny ? this->value + weightOfNewest * (part - this->value) : part;
+        const double fraction = static_cast<double>(admitted) / static_cast<double>(asked);
+        this->value =
+            this->hasAny ? this->value + newestWeight * (fraction - this->value) : fraction;
         this->hasAny = true;
     }
-    /// At least a small part, so that what is asked about stays bounded.
-    double mean() const { return std::max(this->value, leastPart); }
+    /// Never below a small minimum, which bounds the number of targets that a query names.
+    double mean() const { return std::max(this->value, minFraction); }
 
 private:
-    static constexpr double weightOfNewest = 0.05;
-    static constexpr double leastPart = 0.02;
+    static constexpr double newestWeight = 0.05;
+    static constexpr double minFraction = 0.02;
 
     double value = 0.0;
     bool hasAny = false;
--- a/src/workflows/claims.h
+++ b/src/workflows/claims.h
@@ -8,14 +8,14 @@
 
 namespace guavavalve::workflows {
 
-/// Room that is kept for one step while a question about it is under way.
+/// Room that is reserved for one step while an admission query about it is pending.
 ///
-/// Guards against a gang that never starts: the room that was there when its targets were asked
-/// about would be taken by small tasks before the answer comes, and it would ask again for ever.
+/// Guards against a gang that never starts: small tasks would take the room found at the time of
+/// the query before the answer arrives, and the gang would repeat the query indefinitely.
 struct Claim
 {
-    std::map<IncarnationId, std::uint16_t> tasks; ///< how many of the step's tasks fit where
-    Instant until{}; ///< then the room is anybody's again
+    std::map<IncarnationId, std::uint16_t> tasks; ///< number of the step's tasks by target
+    Instant until{}; ///< the room is released at this time
 };
 
 using ClaimTable = std::map<StepAddress, Claim>;
--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -176,13 +176,13 @@
         counts += (counts.empty() ? "" : ",") + taskName(task) + "=" + std::to_string(count.crashes)
             + "/" + std::to_string(count.earlyCrashes);
     }
-    std::string hopeless;
+    std::string givenUpTasks;
     for (const TaskAddress &task : givenUp)
-        hopeless += (hopeless.empty() ? "" : ",") + taskName(task);
+        givenUpTasks += (givenUpTasks.empty() ? "" : ",") + taskName(task);
     logChange(LogLevel::Warning, "target-crashed",
               {{"life", std::to_string(idValue(incarnation))},
                {"crashes", counts},
-               {"givenUp", hopeless}});
+               {"givenUp", givenUpTasks}});
 }
 
 void logTargetAlive(IncarnationId incarnation)
--- a/src/workflows/decisionlog.h
+++ b/src/workflows/decisionlog.h
@@ -22,47 +22,48 @@
 
 namespace guavavalve::workflows {
 
-/// One log line for each decision about a workflow and each change of what is believed of a
-/// target. A workflow's identity is written as its caller wrote it.
+/// One log line for each decision about a workflow and each change in the assessment of a target.
+/// A workflow's identity is written as its caller wrote it.
 
 std::string workflowName(WorkflowId id);
 
-/// \a version: of the configuration that it was decided by; \a ageMs: since the workflow was due;
-/// \a waited: of the step until now; \a estimatedMs: for each task, by the caller.
+/// \a version: of the configuration in force; \a ageMs: time since the workflow was due;
+/// \a waited: waiting time of the step so far; \a estimatedMs: the caller's estimate for each task.
 void logPlaced(const PlaceRuns &command, const std::string &queue, const std::string &account,
                std::int64_t version, std::int64_t ageMs, const WaitTimes &waited,
                std::uint32_t estimatedMs);
-/// It has completed, failed or was cancelled at \a atMs, on the calendar.
+/// The workflow completed, failed or was cancelled at \a atMs, in calendar time.
 void logWorkflowEnded(const Workflow &workflow, std::int64_t atMs);
-/// All that is placed of the workflow is being stopped.
+/// All placed tasks of the workflow are being stopped.
 void logStoppingRuns(WorkflowId id, std::string_view why, std::size_t tasks);
-/// New work may go to the target from now on, or no longer, by what is known of it.
+/// The target has become usable for new work, or unusable, according to \a standing.
 void logTargetUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing);
-/// What binds at the moment: written at most once a second.
+/// The state of the latest plan; written at most once a second.
 void logPlan(const PlanSummary &summary, std::size_t queries, std::size_t live);
-/// The controller's loop runs late, so that orders and answers wait for it.
+/// The controller's loop is behind schedule, which delays orders and answers.
 void logLoopLag(Milliseconds lag);
 void logPlacementRejected(const PlaceRuns &command, CommandOutcome outcome);
 void logRunsEnded(IncarnationId incarnation, const std::vector<RunEnd> &ends);
-/// A run is stopped, to be begun elsewhere, since its target has stalled.
+/// A run is stopped so that it can be restarted elsewhere, because its target has stalled.
 void logRunMoved(IncarnationId incarnation, const TaskAddress &task);
-/// Nothing is written where nothing has changed.
+/// Writes nothing if the trust has not changed.
 void logTargetTrust(IncarnationId incarnation, TargetTrust before, TargetTrust now);
 void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted);
 void logAdmissionFailed(const StepAddress &step, const Error &error);
-/// An instance that carries orders for \a targets has not answered: they go other ways.
+/// An instance that forwards orders to \a targets targets has not answered; their orders are sent
+/// another way.
 void logAgentUnresponsive(const std::string &agent, std::size_t targets, const Error &error);
 void logTargetStarted(const TargetIdentity &target);
-/// The target's process is gone. \a lost: how often targets have crashed under each task that was
-/// lost with it; \a givenUp: those that nothing is started of any more.
+/// The target's process has ended. \a lost: the tasks that ran on it, with the number of targets
+/// that have crashed under each; \a givenUp: the tasks that are not started again.
 void logCrash(IncarnationId incarnation, const std::map<TaskAddress, LossCount> &lost,
               const std::vector<TaskAddress> &givenUp);
-/// A target that runs were lost with answers again.
+/// A target whose runs had been counted as lost answers again.
 void logTargetAlive(IncarnationId incarnation);
-/// The target's room was \a before until now.
+/// \a before: the target's capacity until now.
 void logTargetResized(const TargetIdentity &target, const Resources &before);
 void logTargetEnded(const TargetIdentity &target, IncarnationEnd how);
-/// \a runs: under way there, or on their way.
+/// \a runs: number of runs on these targets or on their way there.
 void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
                          std::size_t runs);
 void logConfigurationInForce(std::int64_t version, const Policy &policy);
--- a/src/workflows/internal/admissionqueryplanner.cpp
+++ b/src/workflows/internal/admissionqueryplanner.cpp
@@ -8,34 +8,35 @@
 
 namespace {
 
-/// Targets named in one question about single tasks. The objectives of workflows count one question
+/// Targets named in one query about single tasks. The objectives of workflows allow for one query
 /// about 30.
-constexpr std::size_t maxNamedTargets = 30;
-/// The most that the service lets one question name.
-constexpr std::size_t longestQuestion = 100;
-/// Part of the targets that a step may run on, where nothing has been observed yet.
-constexpr double usualPart = 0.3;
-/// A gang names no more targets at a time than these questions hold, however full the cell is.
-constexpr std::size_t mostQuestionsAtOnce = 4;
-/// A gang that may run on targets which, empty, hold this many times its tasks asks about no more:
-/// it waits for room on these.
-constexpr std::size_t enoughCapacity = 5;
-/// While no more than one in so many instances has a question, gangs ask about all targets.
-constexpr std::size_t partIdle = 2;
-/// Tickets that would run out this soon after the answer are renewed for a gang whose turn is near.
+constexpr std::size_t maxTargetsForTasks = 30;
+/// The service's limit of targets in one query.
+constexpr std::size_t maxTargetsPerQuery = 100;
+/// Assumed fraction of the targets that admit a step, until some has been observed.
+constexpr double defaultAdmittedFraction = 0.3;
+/// Queries that a gang sends at a time at most, however full the cell is.
+constexpr std::size_t maxQueriesPerGang = 4;
+/// A gang sends no more queries once the targets that admit it could hold this many times its tasks
+/// if they were empty: it then waits for room on these.
+constexpr std::size_t sufficientCapacity = 5;
+/// While fewer than one in this many instances has a pending query, gangs query about all targets.
+constexpr std::size_t idleDivisor = 2;
+/// Tickets that would expire this soon after the answer are renewed for a gang that is next in
+/// line.
 constexpr Milliseconds refreshMargin{200};
-/// A gang is asked about for this many times the room that it needs: of ten targets with three
-/// admitted on average, one question in seven would find too few at once.
-constexpr double spareRoom = 2.5;
+/// A gang queries about this many times the room that it needs: of ten targets, three of
+/// which are admitted on average, one query in seven would find too few at once.
+constexpr double roomFactor = 2.5;
 
-/// The \a most targets that come first by their key.
+/// The \a limit targets with the lowest keys, in the order of their keys.
 std::vector<IncarnationId> firstTargets(std::vector<std::pair<std::int64_t, IncarnationId>> keyed,
-                                        std::size_t most)
+                                        std::size_t limit)
 {
-    most = std::min(most, keyed.size());
-    std::partial_sort(keyed.begin(), keyed.begin() + static_cast<std::ptrdiff_t>(most),
+    limit = std::min(limit, keyed.size());
+    std::partial_sort(keyed.begin(), keyed.begin() + static_cast<std::ptrdiff_t>(limit),
                       keyed.end());
-    keyed.resize(most);
+    keyed.resize(limit);
     std::vector<IncarnationId> incarnations;
     incarnations.reserve(keyed.size());
     for (const auto &[key, incarnation] : keyed)
@@ -43,10 +44,10 @@
     return incarnations;
 }
 
-/// How long the service takes for a question that names \a targets, or the most that one may.
-Milliseconds askingTime(const ReadyStep &step, std::size_t targets)
+/// Processing time of a query that names \a targets targets, up to the limit of one query.
+Milliseconds processingTime(const ReadyStep &step, std::size_t targets)
 {
-    const double named = static_cast<double>(std::min(targets, longestQuestion));
+    const double named = static_cast<double>(std::min(targets, maxTargetsPerQuery));
     return Milliseconds(
         static_cast<std::int64_t>(step.queue->queryBaseMs + named * step.queue->queryMsPerTarget));
 }
@@ -77,44 +78,44 @@
     , open(input.openQueries)
 {}
 
-std::vector<AdmissionQuery> AdmissionQueryPlanner::make(const ReadyStep &step, bool isNearTurn)
+std::vector<AdmissionQuery> AdmissionQueryPlanner::plan(const ReadyStep &step, bool isNextInLine)
 {
-    std::vector<AdmissionQuery> made = this->decide(step, isNearTurn);
-    this->open += made.size();
-    return made;
+    std::vector<AdmissionQuery> queries = this->decide(step, isNextInLine);
+    this->open += queries.size();
+    return queries;
 }
 
-/// With so few questions under way a further one keeps no other waiting.
-bool AdmissionQueryPlanner::hasIdleAskers() const
+/// True if so few queries are pending that a further one delays no other.
+bool AdmissionQueryPlanner::hasIdleInstances() const
 {
-    return this->open < this->input.querierCount / partIdle;
+    return this->open < this->input.querierCount / idleDivisor;
 }
 
 std::vector<AdmissionQuery> AdmissionQueryPlanner::decide(const ReadyStep &step,
-                                                          bool isNearTurn) const
+                                                          bool isNextInLine) const
 {
     const StepAdmissions *known = step.admissions;
     if (known != nullptr && (!known->asked.empty() || this->input.now < known->nextQueryAt))
         return {};
     if (known != nullptr) {
-        auto renewal =
-            step.spec().gang ? this->renewGang(step, *known) : this->renewSingles(step, *known);
+        auto renewal = step.spec().gang ? this->renewGang(step, *known)
+                                        : this->renewForSingleTasks(step, *known);
         if (!renewal.empty())
             return renewal;
-        const bool isEnough = step.spec().gang && this->knowsEnough(step);
-        if (isEnough && isNearTurn)
+        const bool knowsEnough = step.spec().gang && this->knowsEnoughTargets(step);
+        if (knowsEnough && isNextInLine)
             return this->refreshGang(step, *known);
-        if (isEnough && !this->hasIdleAskers())
+        if (knowsEnough && !this->hasIdleInstances())
             return {};
     }
     return this->explore(step);
 }
 
-/// A gang's tickets are renewed only when the targets known to be admitted have room for all of
-/// it, for just as many of them as it takes; and that room is kept until the answer is there.
+/// Renews a gang's tickets only if the admitted targets have room for the whole gang, only on as
+/// many targets as it needs, and reserves that room until the answer arrives.
 ///
-/// Guards against questions that cannot help: one costs half a second and more, and gangs that
-/// asked whenever their tickets ran out kept two thirds of the service's time for themselves.
+/// Guards against queries that cannot help: each takes half a second or more, and gangs that
+/// renewed their tickets whenever these expired used two thirds of the service's time.
 std::vector<AdmissionQuery> AdmissionQueryPlanner::renewGang(const ReadyStep &step,
                                                              const StepAdmissions &known) const
 {
@@ -127,62 +128,63 @@
             withRoom.emplace_back(slots, incarnation);
     }
     std::sort(withRoom.rbegin(), withRoom.rend());
-    std::vector<AdmissionQuery> made;
+    std::vector<AdmissionQuery> queries;
     std::size_t found = 0;
     const std::size_t wanted = step.progress().tasks.size();
     for (const auto &[slots, incarnation] : withRoom) {
         if (found >= wanted)
             break;
-        if (made.empty() || made.back().targets.size() >= longestQuestion)
-            made.push_back({step.address, {}, {}});
+        if (queries.empty() || queries.back().targets.size() >= maxTargetsPerQuery)
+            queries.push_back({step.address, {}, {}});
         const auto taken = static_cast<std::uint16_t>(std::min<std::size_t>(slots, wanted - found));
-        made.back().targets.push_back(incarnation);
-        made.back().claim[incarnation] = taken;
+        queries.back().targets.push_back(incarnation);
+        queries.back().claim[incarnation] = taken;
         found += taken;
     }
     if (found < wanted)
         return {};
-    return made;
+    return queries;
 }
 
-/// Tickets on more targets than the gang needs, where room may come free while they are good.
+/// Renews tickets on more targets than the gang needs, since room may become free on any of them
+/// while the tickets are valid.
 ///
-/// Guards against room that has gathered and stands empty while the tickets for it are renewed.
+/// Guards against reserved room that stays empty while the tickets for it are renewed.
 std::vector<AdmissionQuery> AdmissionQueryPlanner::refreshGang(const ReadyStep &step,
                                                                const StepAdmissions &known) const
 {
-    const std::size_t wanted = enoughCapacity * step.progress().tasks.size();
-    const Instant goodUntil =
-        this->input.now + askingTime(step, known.admitted.size()) + refreshMargin;
+    const std::size_t wanted = sufficientCapacity * step.progress().tasks.size();
+    const Instant neededUntil =
+        this->input.now + processingTime(step, known.admitted.size()) + refreshMargin;
     std::vector<std::pair<std::int64_t, IncarnationId>> expiring;
     std::size_t slots = 0;
     for (const auto &[incarnation, admission] : known.admitted) {
         const OpenTarget *target = this->room.find(incarnation);
         if (target == nullptr || !PlanRoom::mayRun(step, *target))
             continue;
-        if (admission.validUntil > goodUntil)
+        if (admission.validUntil > neededUntil)
             slots += slotsIn(step, target->identity->capacity);
         else
             expiring.emplace_back(-target->free[ResourceKind::MilliCores], incarnation);
     }
-    std::vector<AdmissionQuery> made;
+    std::vector<AdmissionQuery> queries;
     for (const IncarnationId incarnation :
-         firstTargets(expiring, mostQuestionsAtOnce * longestQuestion)) {
+         firstTargets(expiring, maxQueriesPerGang * maxTargetsPerQuery)) {
         if (slots >= wanted)
             break;
-        if (made.empty() || made.back().targets.size() >= longestQuestion)
-            made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(incarnation);
+        if (queries.empty() || queries.back().targets.size() >= maxTargetsPerQuery)
+            queries.push_back({step.address, {}, {}});
+        queries.back().targets.push_back(incarnation);
         slots += slotsIn(step, this->room.find(incarnation)->identity->capacity);
     }
-    return made;
+    return queries;
 }
 
-/// True if the targets that are known to be admitted, were they empty, held the gang several times
-/// over.
+/// True if the targets known to be admitted could hold the gang several times over if they were
+/// empty.
 ///
-/// Guards against gangs that ask about a whole cell while it is full: what they lack is room.
-bool AdmissionQueryPlanner::knowsEnough(const ReadyStep &step) const
+/// Guards against gangs that query about a whole full cell although what they lack is room.
+bool AdmissionQueryPlanner::knowsEnoughTargets(const ReadyStep &step) const
 {
     std::size_t slots = 0;
     for (const auto &[incarnation, admission] : step.admissions->admitted) {
@@ -190,21 +192,22 @@
         if (target != nullptr && PlanRoom::mayRun(step, *target))
             slots += slotsIn(step, target->identity->capacity);
     }
-    return slots >= enoughCapacity * step.progress().tasks.size();
+    return slots >= sufficientCapacity * step.progress().tasks.size();
 }
 
-/// Part of the targets that steps of this queue may run on, as observed.
-double AdmissionQueryPlanner::admittedPart(const ReadyStep &step) const
+/// Observed fraction of the targets that admit steps of this queue.
+double AdmissionQueryPlanner::admittedFraction(const ReadyStep &step) const
 {
     if (this->input.admittedFractions == nullptr)
-        return usualPart;
+        return defaultAdmittedFraction;
     const auto observed = this->input.admittedFractions->find(step.workflow->spec.queue);
-    return observed == this->input.admittedFractions->end() ? usualPart : observed->second.mean();
+    return observed == this->input.admittedFractions->end() ? defaultAdmittedFraction
+                                                            : observed->second.mean();
 }
 
-/// For single tasks each ticket on a target with room helps.
-std::vector<AdmissionQuery> AdmissionQueryPlanner::renewSingles(const ReadyStep &step,
-                                                                const StepAdmissions &known) const
+/// Renews expired tickets wherever there is room: each helps to place a single task.
+std::vector<AdmissionQuery>
+AdmissionQueryPlanner::renewForSingleTasks(const ReadyStep &step, const StepAdmissions &known) const
 {
     std::vector<std::pair<std::int64_t, IncarnationId>> expired;
     for (const auto &[incarnation, admission] : known.admitted) {
@@ -215,11 +218,11 @@
     }
     if (expired.empty())
         return {};
-    return {{step.address, firstTargets(expired, maxNamedTargets), {}}};
+    return {{step.address, firstTargets(expired, maxTargetsForTasks), {}}};
 }
 
-/// Asks about targets that nothing is known of: those with the most room first. What is learned
-/// stays true, so full ones are named too while nothing at all is known.
+/// Queries about targets without a known answer, those with the most room first. Answers do not
+/// change, so the first query also names full targets.
 std::vector<AdmissionQuery> AdmissionQueryPlanner::explore(const ReadyStep &step) const
 {
     const StepAdmissions *known = step.admissions;
@@ -240,35 +243,35 @@
         return {};
     if (step.spec().gang)
         return this->exploreForGang(step, firstTargets(unknown, unknown.size()));
-    return {{step.address, firstTargets(unknown, maxNamedTargets), {}}};
+    return {{step.address, firstTargets(unknown, maxTargetsForTasks), {}}};
 }
 
-/// Names as many targets as probably hold the gang, in as few and as long questions as there may
-/// be, all at once.
+/// Names as many targets as will probably hold the gang, in as few and as large queries as the
+/// service allows, all sent at once.
 ///
-/// Guards against a gang that learns of its targets in turn: a question about 30 targets takes
-/// 0.8 s, and in a cell of 350 that was nearly full a gang asked eleven of them, one after the
-/// other, before it knew where it could run. One about 100 takes 1.3 s.
+/// Guards against a gang that finds its targets through a series of queries: a query about 30
+/// targets takes 0.8 s, and in a nearly full cell of 350 targets a gang sent eleven of them, one
+/// after the other, before it knew where it could run. A query about 100 targets takes 1.3 s.
 std::vector<AdmissionQuery>
 AdmissionQueryPlanner::exploreForGang(const ReadyStep &step,
                                       const std::vector<IncarnationId> &unknown) const
 {
-    const double wanted = spareRoom * static_cast<double>(step.progress().tasks.size());
-    const double part = this->admittedPart(step);
+    const double wanted = roomFactor * static_cast<double>(step.progress().tasks.size());
+    const double fraction = this->admittedFraction(step);
     double expected = 0.0;
-    std::vector<AdmissionQuery> made;
+    std::vector<AdmissionQuery> queries;
     for (const IncarnationId incarnation : unknown) {
         if (expected >= wanted)
             break;
-        const bool isFull = made.empty() || made.back().targets.size() >= longestQuestion;
-        if (isFull && made.size() >= mostQuestionsAtOnce && !this->hasIdleAskers())
+        const bool isFull = queries.empty() || queries.back().targets.size() >= maxTargetsPerQuery;
+        if (isFull && queries.size() >= maxQueriesPerGang && !this->hasIdleInstances())
             break;
         if (isFull)
-            made.push_back({step.address, {}, {}});
-        made.back().targets.push_back(incarnation);
-        expected += part * slotsOn(step, *this->room.find(incarnation));
+            queries.push_back({step.address, {}, {}});
+        queries.back().targets.push_back(incarnation);
+        expected += fraction * slotsOn(step, *this->room.find(incarnation));
     }
-    return made;
+    return queries;
 }
 
 } // namespace guavavalve::workflows::internal
--- a/src/workflows/internal/planroom.cpp
+++ b/src/workflows/internal/planroom.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A ticket must outlast the commit of the placement and the way to the target: about 50 ms on
-/// disks of 6 ms, several times that on a slow one.
-constexpr Milliseconds ticketReserve{200};
+/// A ticket must stay valid until the placement is committed and its order has reached the target:
+/// about 50 ms with disks that take 6 ms for a write, several times that with a slow disk.
+constexpr Milliseconds ticketMargin{200};
 
 void addTimes(Resources &to, const Resources &amount, std::int64_t times)
 {
@@ -31,19 +31,19 @@
         const QueuePolicy *queue =
             workflow == nullptr ? nullptr : input.policy.queue(workflow->spec.queue);
         if (queue != nullptr && !workflow->isOver()) {
-            this->claiming.emplace(queue->priority,
-                                   ReadyStep{address, workflow, queue, 0, false, nullptr});
+            this->unreservedClaims.emplace(queue->priority,
+                                           ReadyStep{address, workflow, queue, 0, false, nullptr});
         }
     }
 }
 
-void PlanRoom::holdClaims(std::uint32_t priority)
+void PlanRoom::reserveClaims(std::uint32_t priority)
 {
-    while (!this->claiming.empty() && this->claiming.begin()->first <= priority) {
-        const ReadyStep &step = this->claiming.begin()->second;
+    while (!this->unreservedClaims.empty() && this->unreservedClaims.begin()->first <= priority) {
+        const ReadyStep &step = this->unreservedClaims.begin()->second;
         this->addClaim(step, -1);
         this->claimed += this->claimOf(step);
-        this->claiming.erase(this->claiming.begin());
+        this->unreservedClaims.erase(this->unreservedClaims.begin());
     }
 }
 
@@ -84,17 +84,18 @@
     }
 }
 
-void PlanRoom::openClaim(const ReadyStep &step)
+void PlanRoom::releaseClaim(const ReadyStep &step)
 {
     this->addClaim(step, 1);
 }
 
-void PlanRoom::closeClaim(const ReadyStep &step)
+void PlanRoom::restoreClaim(const ReadyStep &step)
 {
     this->addClaim(step, -1);
 }
 
-void PlanRoom::keep(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim)
+void PlanRoom::reserveRoom(const ReadyStep &step,
+                           const std::map<IncarnationId, std::uint16_t> &claim)
 {
     this->addRoom(step, claim, -1);
 }
@@ -120,7 +121,7 @@
     const std::string &name = step.workflow->spec.account;
     const auto account = this->input.policy.accounts.find(name);
     if (account == this->input.policy.accounts.end())
-        return false; // it was taken out after its work had been accepted
+        return false; // the account was removed after its work had been accepted
     const auto held = this->accounts.find(name);
     Resources after = held == this->accounts.end() ? Resources{} : held->second;
     addTimes(after, step.spec().need, static_cast<std::int64_t>(more));
@@ -136,9 +137,9 @@
 
 bool PlanRoom::mayStart(const ReadyStep &step, const OpenTarget &target) const
 {
-    const bool isGood = !step.queue->needsAdmission
+    const bool wasAdmitted = !step.queue->needsAdmission
         || (step.admissions != nullptr && step.admissions->admitted.count(target.incarnation) != 0);
-    return isGood && PlanRoom::mayRun(step, target)
+    return wasAdmitted && PlanRoom::mayRun(step, target)
         && step.spec().reserved().fitsInto(target.identity->capacity);
 }
 
@@ -154,7 +155,7 @@
     }
     if (step.admissions == nullptr)
         return found;
-    const Instant until = this->input.now + ticketReserve;
+    const Instant until = this->input.now + ticketMargin;
     for (const auto &[incarnation, admission] : step.admissions->admitted) {
         OpenTarget *target = admission.validUntil > until ? this->find(incarnation) : nullptr;
         if (target != nullptr && PlanRoom::mayRun(step, *target))
@@ -168,7 +169,7 @@
     if (!step.queue->needsAdmission)
         return true;
     return step.admissions != nullptr
-        && step.admissions->valid(incarnation, this->input.now + ticketReserve) != nullptr;
+        && step.admissions->valid(incarnation, this->input.now + ticketMargin) != nullptr;
 }
 
 } // namespace guavavalve::workflows::internal
--- a/src/workflows/internal/planroom.h
+++ b/src/workflows/internal/planroom.h
@@ -10,8 +10,8 @@
 
 namespace guavavalve::workflows::internal {
 
-/// The room that a plan may still give away: on each open target, and below each client account's
-/// limit. Claimed room belongs to the step that claims it.
+/// The room that is left while a plan is made: on each open target, and below each client account's
+/// limit. Claimed room is available only to the step that claims it.
 class PlanRoom
 {
 public:
@@ -21,32 +21,32 @@
     const std::vector<OpenTarget> &targets() const { return this->open; }
     OpenTarget *find(IncarnationId incarnation);
 
-    /// Takes the room out that steps of \a priority and of more urgent ones claim. To be called
-    /// with rising priorities: a step may use what less urgent ones claim.
-    void holdClaims(std::uint32_t priority);
-    /// What steps claim, of those that holdClaims() has come to.
+    /// Reserves the room that steps of \a priority and of more urgent ones claim. Call with
+    /// increasing priority values: a step may use room that less urgent steps claim.
+    void reserveClaims(std::uint32_t priority);
+    /// Sum of the claims that reserveClaims() has reserved so far.
     std::int64_t claimedMilliCores() const { return this->claimed; }
-    /// Hands a step the room that it claims, and takes it back.
-    void openClaim(const ReadyStep &step);
-    void closeClaim(const ReadyStep &step);
-    /// Keeps room for a step from the steps that come after it in this plan.
-    void keep(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim);
+    /// Makes the room that a step claims available to it, and reserves it again.
+    void releaseClaim(const ReadyStep &step);
+    void restoreClaim(const ReadyStep &step);
+    /// Reserves room for a step against the steps that come later in this plan.
+    void reserveRoom(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim);
 
     void take(const ReadyStep &step, OpenTarget &target);
     void giveBack(const ReadyStep &step, OpenTarget &target);
 
-    /// True if \a more tasks of the step would bring its account over its limit.
+    /// True if \a more further tasks of the step would exceed the limit of its client account.
     bool isOverLimit(const ReadyStep &step, std::size_t more) const;
-    /// Service and label allow it, and a target on probation is given no member of a gang: one that
-    /// fails ends all others.
+    /// True if service and label match, and a gang's target is not on probation: one failing member
+    /// ends all the others.
     static bool mayRun(const ReadyStep &step, const OpenTarget &target);
-    /// The targets that the step may be started on now, as far as room is not asked about: its
-    /// admissions there are still good, or it needs none.
+    /// The targets that the step may be started on now, regardless of room: its admissions there
+    /// are still valid, or it needs none.
     std::vector<OpenTarget *> admittedTargets(const ReadyStep &step);
-    /// The step has an admission there that is still good, or needs none.
+    /// True if the step has a valid admission for the target, or needs none.
     bool isAdmitted(const ReadyStep &step, IncarnationId incarnation) const;
-    /// Its tasks may be started there once there is room, for all that is known: their tickets may
-    /// have to be renewed first.
+    /// True if, as far as is known, the step's tasks may be started on the target once it has room,
+    /// possibly after renewing their tickets.
     bool mayStart(const ReadyStep &step, const OpenTarget &target) const;
 
 private:
@@ -56,8 +56,8 @@
                  std::int64_t sign);
 
     const PlanInput &input;
-    std::vector<OpenTarget> open; ///< by life
-    std::multimap<std::uint32_t, ReadyStep> claiming; ///< by priority; not held yet
+    std::vector<OpenTarget> open; ///< ordered by incarnation
+    std::multimap<std::uint32_t, ReadyStep> unreservedClaims; ///< by priority; not reserved yet
     std::int64_t claimed = 0;
     std::map<std::string, Resources> accounts;
 };
--- a/src/workflows/internal/readystep.h
+++ b/src/workflows/internal/readystep.h
@@ -9,20 +9,21 @@
 
 namespace guavavalve::workflows::internal {
 
-/// A step that has tasks to be placed.
+/// A step that has tasks to place.
 struct ReadyStep
 {
     StepAddress address;
     const Workflow *workflow = nullptr;
     const QueuePolicy *queue = nullptr;
     std::int64_t objectiveMs = 0; ///< calendar time by which the workflow should be done
-    /// It would miss its objective even if it were started now. Such steps come after all others of
-    /// their priority.
+    /// The step would miss its objective even if it were started now. Such steps come after all
+    /// others of their priority.
     ///
-    /// Guards against a cell where everybody is late: in the order of objectives alone the oldest
-    /// come first, and each that is late already makes one late that could still be in time.
+    /// Guards against an overloaded cell in which every workflow is late: ordered by objective
+    /// alone, the oldest come first, and each that is already late delays one that could still be
+    /// on time.
     bool isLate = false;
-    const StepAdmissions *admissions = nullptr; ///< null: nothing is known yet
+    const StepAdmissions *admissions = nullptr; ///< null: no answer or pending query yet
 
     const StepSpec &spec() const { return this->workflow->spec.steps[this->address.step]; }
     const StepProgress &progress() const { return this->workflow->step(this->address); }
--- a/src/workflows/objective.h
+++ b/src/workflows/objective.h
@@ -8,13 +8,13 @@
 
 namespace guavavalve::workflows {
 
-/// The longest chain of work that begins with each step, by the caller's estimates, in
+/// Length of the critical path that starts with each step, by the caller's estimates, in
 /// milliseconds.
-std::vector<std::int64_t> chainsFrom(const WorkflowSpec &spec);
+std::vector<std::int64_t> criticalPathsFrom(const WorkflowSpec &spec);
 
-/// How long the workflow may take by its queue's objective, in milliseconds, given its \a longest
-/// chain of work.
-std::int64_t objectiveOf(const QueuePolicy &queue, std::int64_t longest);
+/// How long a workflow may take by its queue's objective, in milliseconds, given the length of its
+/// critical path.
+std::int64_t objectiveOf(const QueuePolicy &queue, std::int64_t criticalPathMs);
 
 /// As above.
 std::int64_t objectiveOf(const QueuePolicy &queue, const WorkflowSpec &spec);
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -20,19 +20,20 @@
 
 namespace {
 
-/// Part of all targets' processors that is let gather for gangs at a time, and stands empty until
-/// enough has ended. In cells of 48 targets that are two to four gangs of six tasks, and in cells
-/// of 350 about ten of twenty.
-constexpr std::int64_t partSavedForGangs = 6;
-/// Gangs that together need this part of all targets' processors have their tickets kept fresh.
-constexpr std::int64_t partNearTurn = 3;
-/// So many instances for each of these gangs, which keeps one busy nearly all the time.
-constexpr std::size_t askersPerGang = 4;
+/// One part in this many of all targets' processor capacity may be reserved for waiting gangs, and
+/// stays idle until enough tasks have ended. That is room for two to four gangs of six tasks in
+/// cells of 48 targets, and for about ten gangs of twenty in cells of 350.
+constexpr std::int64_t gangReserveDivisor = 6;
+/// The first gangs in order, which together need one part in this many of all targets' processor
+/// capacity, have their tickets kept valid.
+constexpr std::int64_t nextGangsDivisor = 3;
+/// Instances required for each of these gangs, which keeps one of them busy nearly all the time.
+constexpr std::size_t instancesPerGang = 4;
 
 bool hasWaiting(const StepSpec &spec, const StepProgress &progress)
 {
     const std::size_t waiting = progress.tasks.size() - progress.placed - progress.succeeded;
-    // A gang starts again once all members of its last run are over.
+    // A gang restarts only once all members of its last run have ended.
     return spec.gang ? waiting == progress.tasks.size() : waiting > 0;
 }
 
@@ -83,7 +84,7 @@
         return steps;
     }
 
-    /// Most workflows that are not over have all that is ready under way.
+    /// A cheap check first: most active workflows have no ready step left to place.
     static bool hasReadyStep(const Workflow &workflow)
     {
         for (std::uint32_t k = 0; k < workflow.occurrences.size(); ++k) {
@@ -107,9 +108,9 @@
     {
         if (!hasReadyStep(workflow))
             return;
-        const std::vector<std::int64_t> chains = chainsFrom(workflow.spec);
+        const std::vector<std::int64_t> criticalPaths = criticalPathsFrom(workflow.spec);
         const std::int64_t allowedMs =
-            objectiveOf(queue, *std::max_element(chains.begin(), chains.end()));
+            objectiveOf(queue, *std::max_element(criticalPaths.begin(), criticalPaths.end()));
         for (std::uint32_t k = 0; k < workflow.occurrences.size(); ++k) {
             const std::int64_t dueMs = workflow.spec.dueAtMs(k);
             if (dueMs > this->input.calendarMs)
@@ -120,13 +121,13 @@
                 const StepProgress &progress = workflow.step(address);
                 if (hasWaiting(workflow.spec.steps[i], progress) && workflow.isReady(address))
                     steps.push_back({address, &workflow, &queue, objectiveMs,
-                                     this->input.calendarMs + chains[i] > objectiveMs,
+                                     this->input.calendarMs + criticalPaths[i] > objectiveMs,
                                      this->admissionsOf(address)});
             }
         }
     }
 
-    /// False while it is not known how many targets the task has crashed.
+    /// False while it is undecided how many targets the task has crashed.
     bool mayStart(const ReadyStep &step, std::size_t index) const
     {
         const TargetLossTracker &losses = this->input.store.losses();
@@ -140,17 +141,17 @@
             {step.address, static_cast<std::uint16_t>(index)});
     }
 
-    /// Keeps all that comes after in this plan off the targets that get a task which may crash
-    /// them.
-    void keepAlone(const ReadyStep &step, const std::vector<Placement> &placements)
+    /// Excludes targets that get a task which may crash them from the rest of this plan.
+    void isolateSuspects(const ReadyStep &step, const std::vector<Placement> &placements)
     {
         for (const Placement &placement : placements) {
             if (this->isSuspect(step, placement.index))
-                this->onTrial.insert(placement.incarnation);
+                this->isolated.insert(placement.incarnation);
         }
     }
 
-    /// Waiting tasks of the step that may not be started now. A gang starts whole.
+    /// Number of waiting tasks of the step that may not be started now. A gang only starts as a
+    /// whole.
     std::size_t withheld(const ReadyStep &step) const
     {
         std::size_t count = 0;
@@ -162,7 +163,7 @@
 
     void place(const ReadyStep &step)
     {
-        this->room.holdClaims(step.queue->priority);
+        this->room.reserveClaims(step.queue->priority);
         const std::size_t held = this->withheld(step);
         if (held > 0)
             this->plan.waiting.push_back({step.address, WaitCause::Verdict});
@@ -170,155 +171,158 @@
             this->plan.summary.waitingTasks[step.queue->priority] += held;
             return;
         }
-        this->room.openClaim(step);
+        this->room.releaseClaim(step);
         this->candidates = this->room.admittedTargets(step);
         this->placedOfStep = 0;
-        const bool isPlaced = step.spec().gang ? this->placeGang(step) : this->placeSingles(step);
+        const bool isPlaced = step.spec().gang ? this->placeGang(step) : this->placeTasks(step);
         if (isPlaced)
-            return; // its claim is spent
+            return; // the placed tasks have used its claim
         this->plan.summary.waitingTasks[step.queue->priority] +=
             step.waiting() - this->placedOfStep;
         if (this->room.isOverLimit(step, step.spec().gang ? step.progress().tasks.size() : 1)) {
             this->plan.waiting.push_back({step.address, WaitCause::Limit});
-            this->room.closeClaim(step);
+            this->room.restoreClaim(step);
             return;
         }
-        bool isAsked = false;
+        bool isQueried = false;
         if (step.queue->needsAdmission)
-            isAsked = this->ask(step, step.spec().gang && this->isNearTurn(step));
-        this->plan.waiting.push_back({step.address, causeOfWait(step, isAsked)});
-        this->room.closeClaim(step);
+            isQueried = this->addQueries(step, step.spec().gang && this->isNextInLine(step));
+        this->plan.waiting.push_back({step.address, waitCauseOf(step, isQueried)});
+        this->room.restoreClaim(step);
         if (step.spec().gang)
-            this->saveRoomFor(step);
+            this->reserveRoomFor(step);
     }
 
-    /// True for the first gangs in order, up to a part of the cell and of the instances that ask.
-    bool isNearTurn(const ReadyStep &step)
+    /// True for the first gangs in order, up to a fraction of the cell and of the instances.
+    bool isNextInLine(const ReadyStep &step)
     {
-        const std::size_t most = std::max<std::size_t>(1, this->input.querierCount / askersPerGang);
-        if (this->nearTurnGangs >= most
-            || this->nearTurnMilliCores * partNearTurn >= this->allMilliCores)
+        const std::size_t limit =
+            std::max<std::size_t>(1, this->input.querierCount / instancesPerGang);
+        if (this->nextGangs >= limit
+            || this->nextGangsMilliCores * nextGangsDivisor >= this->allMilliCores)
             return false;
-        ++this->nearTurnGangs;
-        this->nearTurnMilliCores += needOf(step);
+        ++this->nextGangs;
+        this->nextGangsMilliCores += gangMilliCores(step);
         return true;
     }
 
-    /// Of the whole gang, in milli-cores.
-    static std::int64_t needOf(const ReadyStep &step)
+    /// Need of the whole gang, in milli-cores.
+    static std::int64_t gangMilliCores(const ReadyStep &step)
     {
         return static_cast<std::int64_t>(step.progress().tasks.size())
             * step.spec().reserved()[ResourceKind::MilliCores];
     }
 
-    /// \a isAsked: a question about the step goes out with this plan.
-    static WaitCause causeOfWait(const ReadyStep &step, bool isAsked)
+    /// \a isQueried: this plan contains a query about the step.
+    static WaitCause waitCauseOf(const ReadyStep &step, bool isQueried)
     {
         const StepAdmissions *known = step.admissions;
         const bool knowsAny = known != nullptr && !known->admitted.empty();
         if (!step.queue->needsAdmission || (knowsAny && step.spec().gang))
             return WaitCause::Room;
-        if (isAsked || (known != nullptr && !known->asked.empty()))
+        if (isQueried || (known != nullptr && !known->asked.empty()))
             return WaitCause::Admission;
         return knowsAny ? WaitCause::Room : WaitCause::Querier;
     }
 
-    /// True if there is anything to ask.
-    bool ask(const ReadyStep &step, bool isNearTurn)
+    /// Adds the queries about the step to the plan; true if there are any.
+    bool addQueries(const ReadyStep &step, bool isNextInLine)
     {
         const std::size_t before = this->plan.queries.size();
-        for (AdmissionQuery &query : this->queries.make(step, isNearTurn)) {
-            this->room.keep(step, query.claim);
+        for (AdmissionQuery &query : this->queries.plan(step, isNextInLine)) {
+            this->room.reserveRoom(step, query.claim);
             this->plan.queries.push_back(std::move(query));
         }
         return this->plan.queries.size() > before;
     }
 
-    /// Lets room gather for a gang: less urgent steps get nothing on the targets that have most of
-    /// what it needs. Only for the most urgent gangs, since that room stands empty meanwhile, and
-    /// for none that would not start in an empty cell either.
+    /// Reserves room for a gang: less urgent steps get nothing on the targets that have most of
+    /// what it needs. Done only for the most urgent gangs, since the reserved room stays idle
+    /// meanwhile, and not for a gang that would not start in an empty cell either.
     ///
-    /// Guards against gangs that never start in a full cell: small tasks take each gap as it comes.
-    void saveRoomFor(const ReadyStep &step)
+    /// Guards against gangs that never start in a full cell because small tasks fill every gap.
+    void reserveRoomFor(const ReadyStep &step)
     {
         const auto claim = this->input.claims.find(step.address);
         const bool isClaimed =
             claim != this->input.claims.end() && claim->second.until > this->input.now;
-        if (isClaimed || this->savedMilliCores * partSavedForGangs >= this->allMilliCores)
+        if (isClaimed || this->savedMilliCores * gangReserveDivisor >= this->allMilliCores)
             return;
         std::vector<std::pair<std::int64_t, IncarnationId>> byRoom;
-        std::size_t holds = 0; // of its tasks, all these targets when they are empty
+        std::size_t totalSlots = 0; // tasks that all these targets could hold if they were empty
         for (const OpenTarget &target : this->room.targets()) {
-            if (!this->room.mayStart(step, target) || !this->isTicketNear(step, target.incarnation))
+            if (!this->room.mayStart(step, target)
+                || !this->hasOrAwaitsTicket(step, target.incarnation))
                 continue;
             byRoom.emplace_back(-target.free[ResourceKind::MilliCores], target.incarnation);
-            holds += internal::slotsIn(step, target.identity->capacity);
+            totalSlots += internal::slotsIn(step, target.identity->capacity);
         }
-        if (holds < step.progress().tasks.size())
+        if (totalSlots < step.progress().tasks.size())
             return;
-        this->savedMilliCores += needOf(step);
+        this->savedMilliCores += gangMilliCores(step);
         std::sort(byRoom.begin(), byRoom.end());
-        this->room.keep(step, this->firstSlots(step, byRoom));
+        this->room.reserveRoom(step, this->firstSlots(step, byRoom));
     }
 
-    /// The step has a ticket there, or one has been asked for.
-    bool isTicketNear(const ReadyStep &step, IncarnationId incarnation) const
+    /// True if the step has a ticket for the target, or a query for one is pending.
+    bool hasOrAwaitsTicket(const ReadyStep &step, IncarnationId incarnation) const
     {
         return this->room.isAdmitted(step, incarnation)
             || (step.admissions != nullptr && step.admissions->asked.count(incarnation) != 0);
     }
 
-    /// One task and more on each of the targets, in their order, until all have a place.
+    /// Assigns the gang's tasks to the targets in their order, at least one to each, until all are
+    /// assigned.
     std::map<IncarnationId, std::uint16_t>
     firstSlots(const ReadyStep &step,
                const std::vector<std::pair<std::int64_t, IncarnationId>> &byRoom)
     {
-        std::map<IncarnationId, std::uint16_t> saved;
+        std::map<IncarnationId, std::uint16_t> reserved;
         std::size_t missing = step.progress().tasks.size();
         for (const auto &[free, incarnation] : byRoom) {
             const std::size_t slots =
                 std::max<std::size_t>(1, internal::slotsOn(step, *this->room.find(incarnation)));
             const auto taken = static_cast<std::uint16_t>(std::min(slots, missing));
-            saved[incarnation] = taken;
+            reserved[incarnation] = taken;
             missing -= taken;
             if (missing == 0)
                 break;
         }
-        return saved;
+        return reserved;
     }
 
-    /// Places what finds room; true if nothing is left waiting.
-    bool placeSingles(const ReadyStep &step)
+    /// Places the tasks that fit; true if none is left waiting.
+    bool placeTasks(const ReadyStep &step)
     {
-        std::map<RunNumber, PlaceRuns> commands; // by run number: each task counts its own starts
+        std::map<RunNumber, PlaceRuns> commands; // by run number, which is counted per task
         const StepProgress &progress = step.progress();
-        std::map<IncarnationId, std::uint16_t> onTarget = placedByTarget(step);
-        bool isWhole = true;
+        std::map<IncarnationId, std::uint16_t> countByTarget = placedByTarget(step);
+        bool isComplete = true;
         for (std::size_t i = 0; i < progress.tasks.size(); ++i) {
             if (progress.tasks[i].phase != TaskPhase::Waiting || !this->mayStart(step, i))
                 continue;
             OpenTarget *target = this->room.isOverLimit(step, 1)
                 ? nullptr
-                : this->bestTarget(step, i, onTarget, nullptr);
-            isWhole = target != nullptr;
-            if (!isWhole)
+                : this->bestTarget(step, i, countByTarget, nullptr);
+            isComplete = target != nullptr;
+            if (!isComplete)
                 break;
             this->room.take(step, *target);
-            ++onTarget[target->incarnation];
+            ++countByTarget[target->incarnation];
             ++this->placedOfStep;
             PlaceRuns &command = commands[progress.tasks[i].run + 1];
             command.step = step.address;
             command.run = progress.tasks[i].run + 1;
             command.placements.push_back({static_cast<std::uint16_t>(i), target->incarnation});
-            this->keepAlone(step, {command.placements.back()});
+            this->isolateSuspects(step, {command.placements.back()});
         }
         for (auto &[run, command] : commands)
             this->plan.placements.push_back(std::move(command));
-        return isWhole;
+        return isComplete;
     }
 
-    /// Places all members at once or none: on one rack if the gang asks for that and one has the
-    /// room, else anywhere.
+    /// Places all members or none: on one rack if the gang prefers that and a rack has room,
+    /// otherwise on any targets.
     bool placeGang(const ReadyStep &step)
     {
         if (this->room.isOverLimit(step, step.progress().tasks.size()))
@@ -334,13 +338,13 @@
 
     bool tryGang(const ReadyStep &step, const std::string *rack)
     {
-        std::map<IncarnationId, std::uint16_t> onTarget;
+        std::map<IncarnationId, std::uint16_t> countByTarget;
         std::vector<OpenTarget *> taken;
         PlaceRuns command;
         command.step = step.address;
         const StepProgress &progress = step.progress();
         for (std::size_t i = 0; i < progress.tasks.size(); ++i) {
-            OpenTarget *target = this->bestTarget(step, i, onTarget, rack);
+            OpenTarget *target = this->bestTarget(step, i, countByTarget, rack);
             if (target == nullptr) {
                 for (OpenTarget *one : taken)
                     this->room.giveBack(step, *one);
@@ -348,11 +352,11 @@
             }
             this->room.take(step, *target);
             taken.push_back(target);
-            ++onTarget[target->incarnation];
+            ++countByTarget[target->incarnation];
             command.run = std::max(command.run, progress.tasks[i].run + 1);
             command.placements.push_back({static_cast<std::uint16_t>(i), target->incarnation});
         }
-        this->keepAlone(step, command.placements);
+        this->isolateSuspects(step, command.placements);
         this->plan.placements.push_back(std::move(command));
         return true;
     }
@@ -369,7 +373,7 @@
         return found;
     }
 
-    /// Those with the most room first.
+    /// All racks, those with the most room first.
     std::vector<std::string> racks() const
     {
         std::map<std::string, std::int64_t> free;
@@ -387,9 +391,9 @@
         return names;
     }
 
-    /// Where the next task of the step fits best; null: nowhere.
+    /// The best target for the task at \a index; null if it fits nowhere.
     OpenTarget *bestTarget(const ReadyStep &step, std::size_t index,
-                           const std::map<IncarnationId, std::uint16_t> &onTarget,
+                           const std::map<IncarnationId, std::uint16_t> &countByTarget,
                            const std::string *rack)
     {
         const Resources need = step.spec().reserved();
@@ -398,18 +402,18 @@
         OpenTarget *best = nullptr;
         std::tuple<bool, bool, std::size_t, bool, std::int64_t> bestScore;
         for (OpenTarget *target : this->candidates) {
-            if (!need.fitsInto(target->free) || this->onTrial.count(target->incarnation) != 0
+            if (!need.fitsInto(target->free) || this->isolated.count(target->incarnation) != 0
                 || (rack != nullptr && target->identity->rack != *rack))
                 continue;
-            const auto here = onTarget.find(target->incarnation);
-            const std::uint16_t count = here == onTarget.end() ? 0 : here->second;
+            const auto here = countByTarget.find(target->incarnation);
+            const std::uint16_t count = here == countByTarget.end() ? 0 : here->second;
             if (step.spec().maxPerTarget != 0 && count >= step.spec().maxPerTarget)
                 continue;
             const bool isFar =
                 !step.spec().dataRack.empty() && target->identity->rack != step.spec().dataRack;
-            const bool wasThere =
-                task.run > 0 && task.incarnation == target->incarnation; // in vain
-            const std::tuple score{wasThere, target->isCold, isSuspect ? target->occupants : 0,
+            const bool ranThere =
+                task.run > 0 && task.incarnation == target->incarnation; // without success
+            const std::tuple score{ranThere, target->isCold, isSuspect ? target->occupants : 0,
                                    isFar, target->free[ResourceKind::MilliCores]};
             if (best == nullptr || score < bestScore) {
                 best = target;
@@ -422,14 +426,13 @@
     const PlanInput &input;
     PlanRoom room;
     AdmissionQueryPlanner queries;
-    std::vector<OpenTarget *> candidates; ///< where the step that is being placed is admitted
-    std::set<IncarnationId>
-        onTrial; ///< targets that this plan has given a task that may crash them
-    std::size_t placedOfStep = 0; ///< of the step that is being placed, if it is no gang
+    std::vector<OpenTarget *> candidates; ///< targets that admit the step being placed
+    std::set<IncarnationId> isolated; ///< targets given a task that may crash them
+    std::size_t placedOfStep = 0; ///< tasks of the step being placed, unless it is a gang
     std::int64_t allMilliCores = 0; ///< of all open targets
-    std::int64_t savedMilliCores = 0; ///< let gather for gangs
-    std::int64_t nearTurnMilliCores = 0; ///< needed by gangs whose tickets are kept fresh
-    std::size_t nearTurnGangs = 0;
+    std::int64_t savedMilliCores = 0; ///< reserved for waiting gangs
+    std::int64_t nextGangsMilliCores = 0; ///< needed by gangs whose tickets are kept valid
+    std::size_t nextGangs = 0;
     Plan plan;
 };
 
--- a/src/workflows/policy.h
+++ b/src/workflows/policy.h
@@ -9,28 +9,28 @@
 
 namespace guavavalve::workflows {
 
-/// What operators set for one queue.
+/// An operator's settings for one queue.
 struct QueuePolicy
 {
     std::string service; ///< whose targets run its tasks
-    std::uint32_t priority = 0; ///< 0 comes first
-    std::uint16_t maxFailures = 1; ///< of a task or gang, after which its workflow has failed
-    double stretch = 1.0; ///< the objective, in lengths of the longest chain of work
+    std::uint32_t priority = 0; ///< 0 is the most urgent
+    std::uint16_t maxFailures = 1; ///< of a task or gang, at which its workflow fails
+    double stretch = 1.0; ///< the objective, as a multiple of the critical path
     std::int64_t slackMs = 0; ///< added to the objective
-    bool needsAdmission = false; ///< another service says which targets may run a step
-    std::int64_t admissionValidMs = 0; ///< how long an admission may be used
-    double queryBaseMs = 0.0; ///< what a question costs, whatever it names
-    double queryMsPerTarget = 0.0; ///< and for each target named
+    bool needsAdmission = false; ///< the admission service decides which targets may run a step
+    std::int64_t admissionValidMs = 0; ///< how long an admission is valid
+    double queryBaseMs = 0.0; ///< processing time of a query, without its targets
+    double queryMsPerTarget = 0.0; ///< additional processing time for each target
 };
 
-/// What operators set for one client account.
+/// An operator's settings for one client account.
 struct AccountPolicy
 {
-    double weight = 1.0; ///< its share when everything is full
-    Resources limit = unlimitedResources(); ///< the most that it may have placed
+    double weight = 1.0; ///< its share under contention
+    Resources limit = unlimitedResources(); ///< limit of what it may have placed
 };
 
-/// Everything that operators set about workflows.
+/// All operator settings for workflows.
 struct Policy
 {
     std::map<std::string, QueuePolicy> queues;
--- a/src/workflows/progressmonitor.cpp
+++ b/src/workflows/progressmonitor.cpp
@@ -7,24 +7,26 @@
 
 namespace {
 
-/// What a run does now is measured over this long: one that goes on from a checkpoint stands still
-/// for up to 0.6 s first, and progress is listed in whole percent.
+/// Interval over which a run's current rate is measured: a run that resumes from a checkpoint makes
+/// no progress for up to 0.6 s, and progress is listed in whole percent.
 constexpr Milliseconds longSpan{800};
-/// And its best over this long, so that a run of a second has one.
+/// Interval over which its best rate is measured, short enough for a run of one second.
 constexpr Milliseconds shortSpan{300};
-/// Longer tasks may do less than one percent in a long span, by estimates three times too low.
-constexpr std::uint32_t longestWatchedMs = 20000;
-/// A run at less than this part of its best crawls: slowed targets are four times as slow and more.
-constexpr double crawlingPart = 0.35;
-/// Crawling runs by which a target is judged. One that stands still is enough.
-constexpr std::ptrdiff_t fewestCrawling = 2;
-/// How long targets stand still, by the users' figures: 3 to 7 s, of which one is over when it
-/// is seen.
-constexpr double usualStallMs = 4000.0;
-/// A run is moved only if it would be over this many times as soon elsewhere: what it is compared
-/// with are guesses.
-constexpr double moveGain = 1.5;
-constexpr double wholePercent = 100.0;
+/// Longer tasks are not monitored: with an estimate three times too low, they may advance by less
+/// than one percent in a long span.
+constexpr std::uint32_t maxMonitoredMs = 20000;
+/// A run below this fraction of its best rate is slow: degraded targets are at least four times
+/// slower.
+constexpr double slowRateFraction = 0.35;
+/// Slow runs needed to judge a target. A single stuck run is enough.
+constexpr std::ptrdiff_t minSlowRuns = 2;
+/// Expected rest of a stall. By the users' figures targets stall for 3 to 7 s, one second of which
+/// has passed when the stall is detected.
+constexpr double remainingStallMs = 4000.0;
+/// A run is moved only if it would finish this many times sooner elsewhere, since both times are
+/// rough estimates.
+constexpr double minMoveGain = 1.5;
+constexpr double fullPercent = 100.0;
 
 double millisecondsBetween(Instant from, Instant to)
 {
@@ -33,62 +35,62 @@
 
 } // namespace
 
-bool ProgressMonitor::Seen::crawls() const
+bool ProgressMonitor::ObservedRun::isSlow() const
 {
-    return this->rate && *this->rate < crawlingPart * this->bestRate;
+    return this->rate && *this->rate < slowRateFraction * this->bestRate;
 }
 
-double ProgressMonitor::Seen::wholeMs() const
+double ProgressMonitor::ObservedRun::fullDurationMs() const
 {
-    return this->bestRate > 0.0 ? wholePercent / this->bestRate : this->estimatedMs;
+    return this->bestRate > 0.0 ? fullPercent / this->bestRate : this->estimatedMs;
 }
 
 void ProgressMonitor::listed(const std::vector<RunningTask> &listed,
                              const std::vector<ExpectedRun> &expected, Instant now)
 {
-    std::map<TaskAddress, Seen> still;
+    std::map<TaskAddress, ObservedRun> current;
     for (const ExpectedRun &run : expected) {
         const auto row =
             std::find_if(listed.begin(), listed.end(), [&](const RunningTask &running) {
                 return running.task == run.task && running.run == run.run;
             });
-        const bool isWatched =
-            run.isAlone && run.estimatedMs != 0 && run.estimatedMs <= longestWatchedMs;
-        if (!isWatched || row == listed.end() || !row->percent)
+        const bool isMonitored =
+            run.isIndependent && run.estimatedMs != 0 && run.estimatedMs <= maxMonitoredMs;
+        if (!isMonitored || row == listed.end() || !row->percent)
             continue;
-        Seen seen;
+        ObservedRun observed;
         const auto before = this->runs.find(run.task);
         if (before != this->runs.end() && before->second.run == run.run) {
-            seen = std::move(before->second);
+            observed = std::move(before->second);
         } else {
-            seen.run = run.run;
-            seen.estimatedMs = run.estimatedMs;
-            seen.shortSpan = {now, *row->percent};
-            seen.longSpan = seen.shortSpan;
+            observed.run = run.run;
+            observed.estimatedMs = run.estimatedMs;
+            observed.shortSpan = {now, *row->percent};
+            observed.longSpan = observed.shortSpan;
         }
-        this->measure(seen, *row, now);
-        still[run.task] = std::move(seen);
+        this->measure(observed, *row, now);
+        current[run.task] = std::move(observed);
     }
-    this->runs = std::move(still);
+    this->runs = std::move(current);
 }
 
-void ProgressMonitor::measure(Seen &seen, const RunningTask &row, Instant now) const
+void ProgressMonitor::measure(ObservedRun &observed, const RunningTask &row, Instant now) const
 {
-    seen.percent = *row.percent;
-    if (row.checkpoint != seen.checkpoint) {
-        seen.checkpoint = row.checkpoint;
-        seen.savedPercent = seen.percent;
+    observed.percent = *row.percent;
+    if (row.checkpoint != observed.checkpoint) {
+        observed.checkpoint = row.checkpoint;
+        observed.checkpointPercent = observed.percent;
     }
     const auto rateOver = [&](const Span &span) {
-        return (seen.percent - span.percent) / millisecondsBetween(span.since, now);
+        return (observed.percent - span.percent) / millisecondsBetween(span.since, now);
     };
-    if (now >= seen.longSpan.since + longSpan) {
-        seen.rate = rateOver(seen.longSpan);
-        seen.longSpan = {now, seen.percent};
+    if (now >= observed.longSpan.since + longSpan) {
+        observed.rate = rateOver(observed.longSpan);
+        observed.longSpan = {now, observed.percent};
     }
-    if (now >= seen.shortSpan.since + shortSpan) {
-        seen.bestRate = std::max(seen.bestRate, rateOver(seen.shortSpan));
-        seen.shortSpan = {now, seen.percent};
+    if (now >= observed.shortSpan.since + shortSpan) {
+        observed.bestRate = std::max(observed.bestRate, rateOver(observed.shortSpan));
+        observed.shortSpan = {now, observed.percent};
     }
 }
 
@@ -98,10 +100,12 @@
         return std::count_if(this->runs.begin(), this->runs.end(),
                              [&](const auto &run) { return matches(run.second); });
     };
-    const auto still = count([](const Seen &seen) { return seen.standsStill(); });
-    const auto slow = count([](const Seen &seen) { return seen.standsStill() || seen.crawls(); });
-    const auto measured = count([](const Seen &seen) { return seen.rate.has_value(); });
-    return slow == measured && (still > 0 || slow >= fewestCrawling);
+    const auto stuck = count([](const ObservedRun &observed) { return observed.isStuck(); });
+    const auto slow =
+        count([](const ObservedRun &observed) { return observed.isStuck() || observed.isSlow(); });
+    const auto measured =
+        count([](const ObservedRun &observed) { return observed.rate.has_value(); });
+    return slow == measured && (stuck > 0 || slow >= minSlowRuns);
 }
 
 std::vector<TaskAddress> ProgressMonitor::runsWorthMoving(Milliseconds stopLimit) const
@@ -109,22 +113,22 @@
     std::vector<TaskAddress> found;
     if (!this->isStalled())
         return found;
-    for (const auto &[task, seen] : this->runs) {
-        if (this->isBetterElsewhere(seen, stopLimit))
+    for (const auto &[task, observed] : this->runs) {
+        if (this->isWorthMoving(observed, stopLimit))
             found.push_back(task);
     }
     return found;
 }
 
-bool ProgressMonitor::isBetterElsewhere(const Seen &seen, Milliseconds stopLimit) const
+bool ProgressMonitor::isWorthMoving(const ObservedRun &observed, Milliseconds stopLimit) const
 {
-    const double leftMs = (1.0 - seen.percent / wholePercent) * seen.wholeMs();
-    double here = usualStallMs + leftMs;
-    if (seen.rate && *seen.rate > 0.0)
-        here = std::min(here, (wholePercent - seen.percent) / *seen.rate);
-    const double elsewhere = static_cast<double>(stopLimit.count())
-        + (1.0 - seen.savedPercent / wholePercent) * seen.wholeMs();
-    return here > moveGain * elsewhere;
+    const double leftMs = (1.0 - observed.percent / fullPercent) * observed.fullDurationMs();
+    double hereMs = remainingStallMs + leftMs;
+    if (observed.rate && *observed.rate > 0.0)
+        hereMs = std::min(hereMs, (fullPercent - observed.percent) / *observed.rate);
+    const double elsewhereMs = static_cast<double>(stopLimit.count())
+        + (1.0 - observed.checkpointPercent / fullPercent) * observed.fullDurationMs();
+    return hereMs > minMoveGain * elsewhereMs;
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/stepprogress.h
+++ b/src/workflows/stepprogress.h
@@ -9,14 +9,14 @@
 
 namespace guavavalve::workflows {
 
-/// What is kept of one step of one occurrence.
+/// The stored progress of one step of one occurrence.
 struct StepProgress
 {
     std::vector<TaskProgress> tasks;
     std::uint16_t placed = 0; ///< tasks in phase Placed
     std::uint16_t succeeded = 0;
-    std::uint16_t gangFailures = 0; ///< runs of the gang in which a member failed
-    RunNumber gangFailedRun = 0; ///< the last of these
+    std::uint16_t gangFailures = 0; ///< number of the gang's runs in which a member failed
+    RunNumber gangFailedRun = 0; ///< run number of the last of these
 
     bool isDone() const { return this->succeeded == this->tasks.size(); }
 
--- a/src/workflows/stepspec.h
+++ b/src/workflows/stepspec.h
@@ -11,27 +11,27 @@
 
 namespace guavavalve::workflows {
 
-/// What a caller says of one step: a number of equal tasks that wait for earlier steps.
+/// One step as specified by the caller: a number of identical tasks that depend on earlier steps.
 struct StepSpec
 {
     std::uint16_t tasks = 1;
     Resources need; ///< of each task
-    std::uint32_t estimatedMs = 0; ///< rough run time of a task; 0: not said
+    std::uint32_t estimatedMs = 0; ///< rough run time of a task; 0: unknown
     std::vector<std::uint16_t> dependencies; ///< earlier steps whose tasks must all have succeeded
-    bool checkpointing = false; ///< its tasks save their progress
-    bool gang = false; ///< its tasks work only all together
-    bool sameRack = false; ///< of a gang: much slower over several racks
-    std::string label; ///< that the target must have; empty: any
-    std::string dataRack; ///< where its data is; slower elsewhere; empty: nowhere
-    std::uint16_t maxPerTarget = 0; ///< tasks of the step on one target; 0: no bound
-    bool speculative = false; ///< several runs of a task may go on at once
-    bool longRunning = false; ///< runs until it is cancelled, and is restarted however it ends
-    std::string image; ///< what the tasks run; empty: not said
-    std::uint32_t latencyTargetMs = 0; ///< of a lasting task's own users; 0: none
-    bool backfill = false; ///< takes the processor time that others leave; reserves none
-    std::uint16_t maxUnavailable = 0; ///< tasks of a lasting step that we may have away at once
-
-    /// What a task takes from its target's room.
+    bool checkpointing = false; ///< its tasks save checkpoints
+    bool gang = false; ///< its tasks only work when all of them run
+    bool sameRack = false; ///< for a gang that is much slower across racks
+    std::string label; ///< required of the target; empty: any target
+    std::string dataRack; ///< rack that holds its data; slower elsewhere; empty: none
+    std::uint16_t maxPerTarget = 0; ///< limit of the step's tasks on one target; 0: none
+    bool speculative = false; ///< several runs of a task may be active at once
+    bool longRunning = false; ///< runs until it is cancelled; restarted whatever its outcome
+    std::string image; ///< image that the tasks run; empty: unspecified
+    std::uint32_t latencyTargetMs = 0; ///< for requests to a long-running task; 0: none
+    bool backfill = false; ///< uses leftover processor time and reserves none
+    std::uint16_t maxUnavailable = 0; ///< long-running tasks that we may stop at once
+
+    /// The resources that a task reserves on its target.
     Resources reserved() const
     {
         Resources room = this->need;
--- a/src/workflows/targethealth.cpp
+++ b/src/workflows/targethealth.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// A row of failures is held against its target if chance gives it to fewer than one in thirty.
-/// With the 5% of runs that fail by their own fault that is two, and three where many workflows can
-/// never be done.
-constexpr double chance = 1.0 / 30.0;
-/// Tasks that fail by their own fault, where little has been seen yet. Source: both users' figures.
-constexpr double usualRate = 0.05;
-/// The rate is not believed above this: then nothing could be told apart.
-constexpr double highestRate = 0.5;
-/// Runs in a row below which nothing is held against a target.
-constexpr unsigned fewestFailures = 2;
-/// The first suspension; the further ones are twice as long. Targets that fail everything do so for
-/// some seconds; and a step that may run nowhere else waits no longer than 3 s in all.
+/// Consecutive failures count against a target if chance alone would cause them on fewer than one
+/// target in thirty. With the 5% of runs that fail through their own fault this takes two failures,
+/// and three where many workflows can never succeed.
+constexpr double maxChance = 1.0 / 30.0;
+/// Fraction of tasks that fail through their own fault, assumed until more has been observed.
+/// Source: both users' figures.
+constexpr double defaultFailureRate = 0.05;
+/// Upper bound of the rate: above it, targets and workflows at fault could not be distinguished.
+constexpr double maxFailureRate = 0.5;
+/// Fewer consecutive failures never count against a target.
+constexpr unsigned minFailures = 2;
+/// Length of the first suspension; later ones are twice as long. Targets that fail everything do so
+/// for some seconds, and a step that may run nowhere else waits no longer than 3 s in all.
 constexpr Milliseconds firstSuspension{1000};
-constexpr unsigned mostDoublings = 1;
-/// For a task to come by which an idle target proves itself.
-constexpr Milliseconds longestProbation{800};
+constexpr unsigned maxDoublings = 1;
+/// How long an idle target on probation waits for a single task with which to regain trust.
+constexpr Milliseconds maxProbation{800};
 
 } // namespace
 
-/// Failures in a row that may be chance.
-unsigned TargetHealth::tolerated() const
+/// Number of consecutive failures at which a target is suspended.
+unsigned TargetHealth::suspensionThreshold() const
 {
     std::size_t failing = 0;
     for (const auto &[incarnation, record] : this->records)
         failing += record.failuresInARow > 0 ? 1 : 0;
-    const double seen = this->records.empty()
+    const double observed = this->records.empty()
         ? 0.0
         : static_cast<double>(failing) / static_cast<double>(this->records.size());
-    const double rate = std::clamp(seen, usualRate, highestRate);
-    const auto row = static_cast<unsigned>(std::ceil(std::log(chance) / std::log(rate)));
-    return std::max(fewestFailures, row);
+    const double rate = std::clamp(observed, defaultFailureRate, maxFailureRate);
+    const auto threshold = static_cast<unsigned>(std::ceil(std::log(maxChance) / std::log(rate)));
+    return std::max(minFailures, threshold);
 }
 
 void TargetHealth::ended(IncarnationId incarnation, WorkflowId workflow, RunOutcome outcome,
@@ -55,16 +56,17 @@
     ++record.failuresInARow;
     record.lastFailed = workflow;
     const bool failsAgain = record.suspensions > 0 && now >= record.suspendedUntil;
-    if (!failsAgain && (record.suspensions > 0 || record.failuresInARow < this->tolerated()))
+    if (!failsAgain
+        && (record.suspensions > 0 || record.failuresInARow < this->suspensionThreshold()))
         return;
     TargetHealth::suspend(record, now);
 }
 
-/// Begins a suspension, or draws the one under way out.
+/// Begins a suspension, or extends the current one.
 void TargetHealth::suspend(Record &record, Instant now)
 {
     record.suspendedUntil =
-        now + firstSuspension * (1U << std::min(record.suspensions, mostDoublings));
+        now + firstSuspension * (1U << std::min(record.suspensions, maxDoublings));
     ++record.suspensions;
 }
 
@@ -96,7 +98,7 @@
 bool TargetHealth::hasProbationExpired(IncarnationId incarnation, Instant now) const
 {
     const auto found = this->records.find(incarnation);
-    return found == this->records.end() || now > found->second.suspendedUntil + longestProbation;
+    return found == this->records.end() || now > found->second.suspendedUntil + maxProbation;
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/targethealth.h
+++ b/src/workflows/targethealth.h
@@ -10,11 +10,11 @@
 
 namespace guavavalve::workflows {
 
-/// Whether a target may be given new work, by how the runs on it have ended.
+/// Whether a target may be given new work, judged by the outcomes of its runs.
 enum class TargetTrust : std::uint8_t {
     Trusted,
     Probation, ///< one task at a time, until one succeeds
-    Suspended, ///< nothing new for a while
+    Suspended, ///< no new work for a while
 };
 
 inline constexpr EnumNames<TargetTrust, 3> targetTrustNames{{
@@ -23,41 +23,43 @@
     {TargetTrust::Suspended, "suspended"},
 }};
 
-/// Tells targets that fail what they are given from workflows that fail wherever they run. Pure;
-/// not thread-safe.
+/// Distinguishes targets that fail their runs from workflows that fail on any target. Pure; not
+/// thread-safe.
 ///
-/// A target is suspended when so many runs in a row, of different workflows, have failed there as
-/// would by chance on one target in thirty, at the rate at which targets fail their newest run.
-/// The rate is taken over targets and not over runs: one that fails at once is given the more, and
-/// would look usual.
+/// A target is suspended after so many consecutive failures, of different workflows, as chance
+/// would cause on one target in thirty, given the fraction of targets whose latest run failed. The
+/// rate is taken over targets rather than runs: a target that fails immediately is given more runs
+/// than others and would make failures look normal.
 class TargetHealth
 {
 public:
-    /// A run of \a workflow has ended on \a life. Only success, failure and refusal count.
+    /// A run of \a workflow has ended on \a incarnation. Outcomes other than success, failure and
+    /// refusal are ignored.
     void ended(IncarnationId incarnation, WorkflowId workflow, RunOutcome outcome, Instant now);
-    /// What runs on \a life stands still or crawls.
+    /// The runs on \a incarnation are stuck or slow.
     void stalled(IncarnationId incarnation, Instant now);
     void forget(IncarnationId incarnation);
     void clear();
 
     TargetTrust trust(IncarnationId incarnation, Instant now) const;
 
-    /// True if \a life has been on probation for so long that, idle, it may be given anything.
+    /// True if \a incarnation has been on probation for so long that it may be given any work while
+    /// idle.
     ///
-    /// Guards against a gang that waits for ever: when a cell runs empty, nobody hands in the
-    /// single task by which a target that the gang needs could prove itself.
+    /// Guards against a gang that waits forever: in an otherwise idle cell nobody submits the
+    /// single task with which a target that the gang needs could regain trust.
     bool hasProbationExpired(IncarnationId incarnation, Instant now) const;
 
 private:
     struct Record
     {
-        unsigned failuresInARow = 0; ///< of different workflows
-        WorkflowId lastFailed{}; ///< the workflow that failed last
+        unsigned failuresInARow = 0; ///< consecutive, of different workflows
+        WorkflowId lastFailed{}; ///< workflow of the latest failure
         Instant suspendedUntil{};
         unsigned suspensions = 0; ///< since the last success
     };
 
-    unsigned tolerated() const;
+    unsigned suspensionThreshold() const;
     static void suspend(Record &record, Instant now);
 
     std::map<IncarnationId, Record> records;
--- a/src/workflows/taskprogress.h
+++ b/src/workflows/taskprogress.h
@@ -10,12 +10,12 @@
 
 namespace guavavalve::workflows {
 
-/// Where a task stands.
+/// Scheduling state of a task.
 enum class TaskPhase : std::uint8_t {
-    Waiting, ///< no run of it can be going on
-    Placed, ///< its run is on a target, or on its way there, or is not known to be over
+    Waiting, ///< no run of it can be active
+    Placed, ///< its run is on a target or on its way there, or is not known to have ended
     Succeeded,
-    Failed, ///< it failed too often
+    Failed, ///< it failed as often as its queue allows
 };
 
 inline constexpr EnumNames<TaskPhase, 4> taskPhaseNames{{
@@ -25,14 +25,14 @@
     {TaskPhase::Failed, "failed"},
 }};
 
-/// What is kept of a task.
+/// The stored progress of a task.
 struct TaskProgress
 {
     TaskPhase phase = TaskPhase::Waiting;
-    RunNumber run = 0; ///< the last one placed; 0: none yet
+    RunNumber run = 0; ///< number of the last run placed; 0: none yet
     std::uint16_t failures = 0;
     IncarnationId incarnation = IncarnationId::None; ///< where the last run was placed
-    std::string checkpoint; ///< the newest that is known; empty: none
+    std::string checkpoint; ///< the newest known; empty: none
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/waitcause.h
+++ b/src/workflows/waitcause.h
@@ -8,13 +8,13 @@
 
 namespace guavavalve::workflows {
 
-/// Why tasks that are ready have no place yet.
+/// Why ready tasks have not been placed yet.
 enum class WaitCause : std::uint8_t {
-    Querier, ///< no instance was free to put the question to the admission service
+    Querier, ///< no instance was free to query the admission service
     Admission, ///< the admission service has not answered
-    Room, ///< none on the targets that may run them
-    Limit, ///< their client account is at its upper limit
-    Verdict, ///< targets were lost with them, and it is not known yet whether these have crashed
+    Room, ///< no target that may run them has room
+    Limit, ///< their client account is at its limit
+    Verdict, ///< targets that ran them were lost, and it is not known yet whether these crashed
 };
 
 inline constexpr std::size_t waitCauseCount = 5;
@@ -27,7 +27,7 @@
     {WaitCause::Verdict, "verdict"},
 }};
 
-/// A step that a plan has left waiting, at least in part.
+/// A step that a plan could not place completely.
 struct WaitingStep
 {
     StepAddress step;
--- a/src/workflows/waittimetracker.cpp
+++ b/src/workflows/waittimetracker.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A step that is placed whole within one plan is never asked for again.
-constexpr Milliseconds keepFor{5000};
+/// Retention of a step's times after its wait: those of a step that one plan has placed completely
+/// are not read again.
+constexpr Milliseconds retention{5000};
 
 } // namespace
 
@@ -41,7 +42,7 @@
 void WaitTimeTracker::dropOld(Instant now)
 {
     for (auto wait = this->waits.begin(); wait != this->waits.end();) {
-        const bool isOld = !wait->second.isWaiting && wait->second.since + keepFor < now;
+        const bool isOld = !wait->second.isWaiting && wait->second.since + retention < now;
         wait = isOld ? this->waits.erase(wait) : std::next(wait);
     }
 }
--- a/src/workflows/waittimetracker.h
+++ b/src/workflows/waittimetracker.h
@@ -10,19 +10,19 @@
 
 namespace guavavalve::workflows {
 
-/// How long a step has waited in all, by cause.
+/// Total waiting time of a step, by cause.
 using WaitTimes = std::array<Microseconds, waitCauseCount>;
 
-/// Adds up what each waiting step has waited for, from plan to plan. Its figures begin with the
-/// controller. Pure; not thread-safe.
+/// Accumulates the waiting times of each step by cause, from plan to plan, starting with the
+/// controller's term. Pure; not thread-safe.
 class WaitTimeTracker
 {
 public:
-    /// A plan has left \a waiting without places; other steps wait for nothing now.
+    /// A plan has left the steps in \a waiting unplaced; no other steps are waiting now.
     void planned(const std::vector<WaitingStep> &waiting, Instant now);
-    /// What the step has waited for so far.
+    /// Waiting times of the step so far.
     WaitTimes times(const StepAddress &step, Instant now) const;
-    /// Forgets steps that have not waited for a while.
+    /// Drops steps that have not waited for a while.
     void dropOld(Instant now);
     void clear() { this->waits.clear(); }
 
@@ -32,13 +32,13 @@
         WaitTimes total{};
         WaitCause cause = WaitCause::Room;
         bool isWaiting = false;
-        Instant since{}; ///< of the cause, or of the end of the wait
+        Instant since{}; ///< start of the current cause, or end of the wait
     };
 
     std::map<StepAddress, Wait> waits;
 };
 
-/// As "asker:12,room:340", in milliseconds; causes without any are left out.
+/// Formats \a times as "asker:12,room:340", in milliseconds, without causes that are zero.
 std::string describe(const WaitTimes &times);
 
 } // namespace guavavalve::workflows
--- a/src/workflows/workflow.h
+++ b/src/workflows/workflow.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve::workflows {
 
-/// How a workflow stands as its caller sees it.
+/// State of a workflow as reported to its caller.
 enum class WorkflowState : std::uint8_t { Queued, Running, Completed, Failed, Cancelled };
 
 inline constexpr EnumNames<WorkflowState, 5> workflowStateNames{{
@@ -20,7 +20,7 @@
     {WorkflowState::Cancelled, "cancelled"},
 }};
 
-/// A workflow and how far it is.
+/// A workflow and its progress.
 struct Workflow
 {
     using Occurrence = std::vector<StepProgress>;
@@ -28,11 +28,11 @@
     WorkflowSpec spec;
     std::vector<Occurrence> occurrences;
     std::uint32_t unfinishedSteps = 0; ///< over all occurrences
-    bool hasStarted = false; ///< a task of it has been placed
+    bool hasStarted = false; ///< one of its tasks has been placed
     bool hasFailed = false; ///< a task or a gang failed as often as its queue allows
     bool isCancelled = false;
     std::uint32_t placed = 0; ///< tasks in phase Placed
-    std::int64_t endedAtMs = 0; ///< calendar time, for retention only; 0: not over
+    std::int64_t endedAtMs = 0; ///< calendar time, for retention only; 0: has not ended
 
     WorkflowState state() const
     {
@@ -45,7 +45,7 @@
         return this->hasStarted ? WorkflowState::Running : WorkflowState::Queued;
     }
 
-    /// Nothing more of it may be started.
+    /// True if no more of its tasks may be started.
     bool isOver() const
     {
         return this->isCancelled || this->hasFailed || this->unfinishedSteps == 0;
@@ -59,7 +59,7 @@
     {
         return this->occurrences[address.occurrence][address.step];
     }
-    /// The task, or null if the workflow has no such one.
+    /// Returns null if the workflow has no such task.
     const TaskProgress *task(const TaskAddress &address) const
     {
         if (address.step.occurrence >= this->occurrences.size())
@@ -71,7 +71,7 @@
         return address.index < progress.tasks.size() ? &progress.tasks[address.index] : nullptr;
     }
 
-    /// True once all steps that \a address waits for have succeeded.
+    /// True once all steps that \a address depends on have succeeded.
     bool isReady(const StepAddress &address) const
     {
         const Occurrence &occurrence = this->occurrences[address.occurrence];
--- a/src/workflows/workflowmetrics.h
+++ b/src/workflows/workflowmetrics.h
@@ -13,12 +13,12 @@
 
 namespace guavavalve::workflows {
 
-/// What a controller counts and measures. Times between two readings of the calendar are those of
-/// one controller's clock; one that has been set back counts as none.
+/// The metrics of a controller. Durations are differences of its calendar clock; a negative one,
+/// after the clock was set back, counts as zero.
 class WorkflowMetrics
 {
 public:
-    /// \a metrics null: nothing is counted.
+    /// Records nothing if \a metrics is null.
     explicit WorkflowMetrics(Metrics *metrics)
         : metrics(metrics)
     {}
@@ -27,11 +27,11 @@
     void started(const WorkflowSpec &spec, std::uint32_t occurrence, std::int64_t nowMs) const;
     void over(const Workflow &workflow, std::int64_t nowMs) const;
     void runsOver(const std::vector<RunEnd> &ends) const;
-    /// A target's process is gone with work on it.
+    /// A target's process ended while it had work.
     void targetCrashed() const;
-    /// A batch of commands, from its proposal to its outcomes.
+    /// A batch of commands was committed; \a took: from its proposal to its outcomes.
     void stored(Milliseconds took) const;
-    /// A question to the admission service.
+    /// A query to the admission service was answered or failed.
     void admissionAnswered(Milliseconds took, bool isAnswered) const;
 
 private:
--- a/src/workflows/workflowspec.h
+++ b/src/workflows/workflowspec.h
@@ -12,25 +12,25 @@
 
 namespace guavavalve::workflows {
 
-/// A workflow as its caller handed it in.
+/// A workflow as submitted by its caller.
 struct WorkflowSpec
 {
     WorkflowId id = WorkflowId::None;
     std::string queue;
     std::string account; ///< the client account that it counts against
-    std::string payload; ///< for the targets, passed on as it came
+    std::string payload; ///< passed to the targets unchanged
     std::vector<StepSpec> steps;
-    std::uint32_t repeats = 0; ///< occurrences; 0: one, at once
+    std::uint32_t repeats = 0; ///< number of occurrences; 0: one, started immediately
     std::int64_t firstAtMs = 0; ///< calendar time of the first occurrence
     std::int64_t intervalMs = 0; ///< between occurrences
-    std::int64_t acceptedAtMs = 0; ///< calendar time at the controller that took it
+    std::int64_t acceptedAtMs = 0; ///< calendar time of the controller that accepted it
 
-    bool isTimed() const { return this->repeats > 0; }
-    std::uint32_t occurrences() const { return this->isTimed() ? this->repeats : 1; }
+    bool isScheduled() const { return this->repeats > 0; }
+    std::uint32_t occurrences() const { return this->isScheduled() ? this->repeats : 1; }
     std::int64_t dueAtMs(std::uint32_t occurrence) const
     {
-        return this->isTimed() ? this->firstAtMs + occurrence * this->intervalMs
-                               : this->acceptedAtMs;
+        return this->isScheduled() ? this->firstAtMs + occurrence * this->intervalMs
+                                   : this->acceptedAtMs;
     }
 
     template<typename Archive>
--- a/test/workflows/admissionquerybalancertest.cpp
+++ b/test/workflows/admissionquerybalancertest.cpp
@@ -19,68 +19,68 @@
 }
 
 constexpr Instant now{std::chrono::seconds(100)};
-constexpr Milliseconds shortOne{13};
-constexpr Milliseconds middleOne{140};
-constexpr Milliseconds longOne{700};
+constexpr Milliseconds shortQuery{13};
+constexpr Milliseconds mediumQuery{140};
+constexpr Milliseconds longQuery{700};
 
 } // namespace
 
-TEST_CASE("the instance that is free first asks", "[askers]")
+TEST_CASE("the instance that is free first sends the query", "[askers]")
 {
     AdmissionQueryBalancer pool;
     pool.trust("a");
     pool.trust("b");
-    CHECK(pool.choose(instances(2), shortOne, now) == "a");
-    CHECK(pool.choose(instances(2), shortOne, now) == "b");
-    CHECK(pool.choose(instances(2), shortOne, now) == "a");
-    CHECK(pool.busyUntil("a") == now + 2 * shortOne);
+    CHECK(pool.choose(instances(2), shortQuery, now) == "a");
+    CHECK(pool.choose(instances(2), shortQuery, now) == "b");
+    CHECK(pool.choose(instances(2), shortQuery, now) == "a");
+    CHECK(pool.busyUntil("a") == now + 2 * shortQuery);
     pool.answered("b", true, now);
-    CHECK(pool.choose(instances(2), shortOne, now) == "a"); // the other has just failed
+    CHECK(pool.choose(instances(2), shortQuery, now) == "a"); // the query of "b" has failed
 }
 
-TEST_CASE("an instance that may be gone is not given everything", "[askers]")
+TEST_CASE("an instance that has not answered gets only a few queries", "[askers]")
 {
-    // Guests waited a second longer for their confirmations after the leading machine had frozen:
-    // its successor took it for present, and had it ask about every third step. None of these
-    // questions was answered, and each step was asked about again only 0.6 s later.
+    // Guards against queries lost at a frozen instance. After the leading machine had frozen, its
+    // successor still took it for present and sent the queries for every third step through it.
+    // None was answered, and each was repeated only 0.6 s later, so callers waited a second longer.
     AdmissionQueryBalancer pool;
-    CHECK(pool.choose(instances(1), shortOne, now));
-    CHECK(pool.choose(instances(1), shortOne, now));
-    CHECK_FALSE(pool.choose(instances(1), shortOne, now)); // it has not answered yet
+    CHECK(pool.choose(instances(1), shortQuery, now));
+    CHECK(pool.choose(instances(1), shortQuery, now));
+    CHECK_FALSE(pool.choose(instances(1), shortQuery, now)); // it has not answered yet
     pool.answered("a", false, now);
-    CHECK(pool.choose(instances(1), shortOne, now));
+    CHECK(pool.choose(instances(1), shortQuery, now));
     CHECK_FALSE(
-        pool.choose(instances(1), shortOne, now + 20 * shortOne)); // its answers are overdue
-    pool.answered("a", false, now + 21 * shortOne);
-    pool.answered("a", false, now + 21 * shortOne);
-    CHECK(pool.choose(instances(1), shortOne, now + 21 * shortOne));
+        pool.choose(instances(1), shortQuery, now + 20 * shortQuery)); // its answers are overdue
+    pool.answered("a", false, now + 21 * shortQuery);
+    pool.answered("a", false, now + 21 * shortQuery);
+    CHECK(pool.choose(instances(1), shortQuery, now + 21 * shortQuery));
 }
 
-TEST_CASE("a full cell's questions leave instances to the shortest", "[askers]")
+TEST_CASE("long queries leave instances free for short ones in a full cell", "[askers]")
 {
-    // Callers that wait for a step of 0.8 s were served a second late while the cell was full: each
-    // instance had questions about waiting batch steps queued, 0.14 s each, and theirs of 13 ms
-    // came behind.
+    // Guards against short queries queued behind long ones. In a full cell every instance had
+    // queries of 0.14 s about waiting batch steps pending, so that steps of 0.8 s, whose queries
+    // take 13 ms, were a second late.
     AdmissionQueryBalancer pool;
     const auto all = instances(12);
     for (const InstanceId &instance : all)
         pool.answered(instance, false, now);
-    while (pool.choose(all, longOne, now))
+    while (pool.choose(all, longQuery, now))
         continue;
-    while (pool.choose(all, middleOne, now))
+    while (pool.choose(all, mediumQuery, now))
         continue;
-    const auto asker = pool.choose(all, shortOne, now);
-    REQUIRE(asker);
-    CHECK(pool.busyUntil(*asker) == now + shortOne);
+    const auto instance = pool.choose(all, shortQuery, now);
+    REQUIRE(instance);
+    CHECK(pool.busyUntil(*instance) == now + shortQuery);
 }
 
-TEST_CASE("questions that could only wait are not asked", "[askers]")
+TEST_CASE("queries that could only wait are not sent", "[askers]")
 {
     AdmissionQueryBalancer pool;
     pool.trust("a");
-    CHECK(pool.choose(instances(1), longOne, now));
-    CHECK(pool.choose(instances(1), longOne, now));
-    CHECK_FALSE(pool.choose(instances(1), longOne, now));
-    CHECK(pool.choose(instances(1), longOne, now + longOne));
-    CHECK_FALSE(pool.choose({}, shortOne, now));
+    CHECK(pool.choose(instances(1), longQuery, now));
+    CHECK(pool.choose(instances(1), longQuery, now));
+    CHECK_FALSE(pool.choose(instances(1), longQuery, now));
+    CHECK(pool.choose(instances(1), longQuery, now + longQuery));
+    CHECK_FALSE(pool.choose({}, shortQuery, now));
 }
--- a/test/workflows/admissionqueryplannertest.cpp
+++ b/test/workflows/admissionqueryplannertest.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// A cell of 350 targets, which hold four tasks each.
+/// A cell of 350 targets with room for four tasks each.
 class LargeCell : public PlanFixture
 {
 public:
     LargeCell()
         : PlanFixture(targets)
     {
-        this->needAdvice();
+        this->needAdmission();
     }
 
     /// Fills all targets with tasks of another queue.
@@ -38,12 +38,12 @@
 
 } // namespace
 
-TEST_CASE_METHOD(LargeCell, "in a full cell a gang learns of all its targets at once",
+TEST_CASE_METHOD(LargeCell, "in a full cell a gang queries about all targets at once",
                  "[questions]")
 {
-    // Callers with large jobs waited ten seconds and more although a third of the cell could run
-    // them: the gang asked about 30 targets, waited 0.8 s for the answer, found these full, asked
-    // about the next 30, and so on, eleven times.
+    // Guards against a gang that queries about its targets in sequence: it named 30 targets, waited
+    // 0.8 s for the answer, found these full, named the next 30, and so on, eleven times. Large
+    // jobs waited ten seconds and more although a third of the cell could run them.
     this->fill();
     this->accept({gang(20)});
     const Plan made = this->plan();
@@ -58,19 +58,20 @@
     CHECK(this->plan().queries.empty());
 }
 
-TEST_CASE_METHOD(LargeCell, "in an empty cell a gang asks about what it probably needs",
+TEST_CASE_METHOD(LargeCell,
+                 "in an empty cell a gang queries about as many targets as it probably needs",
                  "[questions]")
 {
-    // Three in ten targets may run it, each with room for four: 20 tasks need 17 on average, and
-    // with room to spare 42. Each name more costs the service 7 ms.
+    // Three targets in ten may run it, each with room for four tasks: 20 tasks need 17 targets on
+    // average, and 42 with a margin. Each further target costs the service 7 ms.
     this->accept({gang(20)});
     const Plan made = this->plan();
     REQUIRE(made.queries.size() == 1);
     CHECK(made.queries[0].targets.size() == 42);
 }
 
-// Guards against a question that the service refuses because it names too many targets.
-TEST_CASE_METHOD(LargeCell, "a large gang renews its tickets in several questions", "[questions]")
+// Guards against a query that the service refuses because it names too many targets.
+TEST_CASE_METHOD(LargeCell, "a large gang renews its tickets in several queries", "[questions]")
 {
     this->accept({gang(600)});
     for (unsigned i = 1; i <= targets; ++i)
@@ -89,8 +90,8 @@
     CHECK(claimed == 600);
 }
 
-// Guards against gangs that take up the admission service while what they lack is room.
-TEST_CASE_METHOD(LargeCell, "a gang that knows enough targets asks about no more", "[questions]")
+// Guards against gangs that occupy the admission service although what they lack is room.
+TEST_CASE_METHOD(LargeCell, "a gang that knows enough targets sends no more queries", "[questions]")
 {
     this->fill();
     this->accept({gang(20)});
@@ -103,8 +104,9 @@
     CHECK_FALSE(this->plan().queries.empty());
 }
 
-// Guards against instances that stand idle while a gang could learn of more targets.
-TEST_CASE_METHOD(LargeCell, "with instances idle a gang asks about all targets", "[questions]")
+// Guards against idle instances while a gang could find more targets.
+TEST_CASE_METHOD(LargeCell, "a gang queries about all targets while instances are idle",
+                 "[questions]")
 {
     this->fill();
     for (unsigned id = 10; id < 12; ++id) {
@@ -114,7 +116,7 @@
             this->admissions[step].admitted[incarnation(i)] = {"ticket",
                                                                this->now + Milliseconds(1400)};
     }
-    // The first is near its turn and has fresh tickets; the second has time to learn.
+    // The first gang is next in line and has valid tickets; the second uses the idle instances.
     this->querierCount = 4;
     const Plan idle = this->plan();
     REQUIRE(idle.queries.size() == 4);
@@ -123,8 +125,8 @@
     CHECK(this->plan().queries.empty());
 }
 
-// Guards against room that has gathered for a gang and stands empty until its tickets are renewed.
-TEST_CASE_METHOD(LargeCell, "a gang whose turn is near renews its tickets before it has room",
+// Guards against room that is reserved for a gang but stays idle until its tickets are renewed.
+TEST_CASE_METHOD(LargeCell, "a gang that is next in line renews its tickets before it has room",
                  "[questions]")
 {
     this->policy.queues["q"].queryBaseMs = 500;
@@ -142,8 +144,8 @@
         CHECK(this->admissions[at(0)].admitted.count(target) == 1);
 }
 
-// Guards against a figure of one deployment that decides how much is asked on another.
-TEST_CASE_METHOD(LargeCell, "how many targets a gang names follows what was admitted",
+// Guards against queries that are sized by a figure measured in another deployment.
+TEST_CASE_METHOD(LargeCell, "a gang names fewer targets if more of them were admitted before",
                  "[questions]")
 {
     this->accept({gang(20)});
@@ -156,8 +158,9 @@
     CHECK(made.queries[0].targets.size() == 18);
 }
 
-// Guards against a few gangs that keep the instances of a small cell busy with their tickets.
-TEST_CASE_METHOD(LargeCell, "few instances keep the tickets of few gangs fresh", "[questions]")
+// Guards against a few gangs whose ticket renewals keep all instances of a small cell busy.
+TEST_CASE_METHOD(LargeCell, "the number of instances limits how many gangs renew tickets early",
+                 "[questions]")
 {
     this->fill();
     for (unsigned id = 10; id < 14; ++id) {
--- a/test/workflows/countingtest.cpp
+++ b/test/workflows/countingtest.cpp
@@ -30,10 +30,10 @@
 
 } // namespace
 
-// An operator's counts of finished jobs did not add up. Two commands of one millisecond were stored
-// in one batch, the first of which ended a job; both looked at the state after the batch, found the
-// job to have ended in their millisecond, and counted it.
-TEST_CASE_METHOD(CountingFixture, "a workflow that is over is counted once", "[counting]")
+// Guards against counting a finished job twice. Two commands of the same millisecond were stored in
+// one batch, and the first ended a job. Both looked at the state after the batch, found that the
+// job had ended in their millisecond, and counted it.
+TEST_CASE_METHOD(CountingFixture, "a workflow that has ended is counted once", "[counting]")
 {
     this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
@@ -45,14 +45,14 @@
     CHECK(this->shows("guavavalve_workflows_total{state=\"cancelled\"} 1"));
 }
 
-// A gang's first end that is heard ends the job; the end of another member is listed in the same
-// millisecond and stored with the next batch. The job was counted again.
+// Guards against counting a job again when the ends of two gang members are listed in the same
+// millisecond but stored in two batches: the first one already ends the job.
 TEST_CASE_METHOD(CountingFixture, "a gang whose members end one by one is counted once",
                  "[counting]")
 {
     constexpr unsigned jobs = 60;
     this->storeTime = Milliseconds(20);
-    this->calendarStepMs = 50; // both ends fall into one step of the calendar, and two batches
+    this->calendarStepMs = 50; // both ends fall into one calendar step, but into two batches
     this->changeController(Milliseconds(0));
     this->runFor(Milliseconds(500));
     StepSpec gang = StoreFixture::gang(2);
@@ -65,9 +65,9 @@
     CHECK(this->shows("guavavalve_workflows_total{state=\"completed\"} " + std::to_string(jobs)));
 }
 
-// Targets have just gone dark, and a job is placed on one before anybody knows. Its start never
-// arrives. Its team asks how many jobs wait, and was told none.
-TEST_CASE_METHOD(CountingFixture, "a job counts as waiting until a target has begun it",
+// Guards against reporting no waiting jobs while a job has been placed on a target that was just
+// disconnected and never receives the start.
+TEST_CASE_METHOD(CountingFixture, "a job counts as waiting until a target has started it",
                  "[counting]")
 {
     for (const char *name : {"t1", "t2"})
@@ -80,7 +80,7 @@
     CHECK(this->controller().waitingIn("other") == 0);
 }
 
-// A controller takes over while a job runs. It was begun, which the targets' lists say.
+// A controller that takes over learns from the targets' lists that a placed job has started.
 TEST_CASE_METHOD(CountingFixture, "a new controller counts no running job as waiting", "[counting]")
 {
     this->submit(job, {StoreFixture::step(1)});
--- a/test/workflows/evacuationtest.cpp
+++ b/test/workflows/evacuationtest.cpp
@@ -25,7 +25,7 @@
         spdlog::set_level(spdlog::level::off);
     }
 
-    /// Tasks of the job that are placed in \a domain.
+    /// Number of tasks that are placed in \a domain.
     std::size_t placedIn(const std::string &domain)
     {
         return this->machine.read([&](const WorkflowStore &store) {
@@ -39,7 +39,7 @@
     }
 };
 
-/// A life in a failure domain of its own, beside the fixture's.
+/// Adds a target in the failure domain \a domain to the fixture's own.
 IncarnationId lifeIn(StoreFixture &f, const std::string &domain)
 {
     TargetIdentity identity;
@@ -63,7 +63,7 @@
     case 1:
         simulation.evacuate(domain, false);
         break;
-    case 2: // in the middle of a change of controller
+    case 2: // during a change of controller
         simulation.evacuate(domain, true);
         simulation.changeController(Milliseconds(800));
         break;
@@ -78,7 +78,7 @@
     }
 }
 
-void play(std::uint64_t seed)
+void runSeed(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed);
@@ -98,7 +98,7 @@
 
 } // namespace
 
-TEST_CASE("an evacuated failure domain takes no placement until it is opened", "[evacuation]")
+TEST_CASE("an evacuated failure domain takes no placement until it is reopened", "[evacuation]")
 {
     StoreFixture f(0);
     const IncarnationId there = lifeIn(f, "d1");
@@ -111,7 +111,7 @@
     CHECK(f.apply(PlaceRuns{f.at(0), 1, {{0, there}}}) == CommandOutcome::Applied);
 }
 
-TEST_CASE("a draining target takes no placement that was decided before", "[evacuation]")
+TEST_CASE("a placement decided before its target began to drain is rejected", "[evacuation]")
 {
     StoreFixture f;
     f.accept({StoreFixture::step(1)});
@@ -119,7 +119,7 @@
     CHECK(f.place(0, 1, {1}) == CommandOutcome::Rejected);
 }
 
-TEST_CASE("an evacuation outlives a restart from a snapshot", "[evacuation]")
+TEST_CASE("an evacuation survives a restart from a snapshot", "[evacuation]")
 {
     StoreFixture f(0);
     const IncarnationId there = lifeIn(f, "d1");
@@ -130,12 +130,12 @@
     CHECK_FALSE(later.takesWork(*later.find(there)));
 }
 
-TEST_CASE("a snapshot without evacuations, as older programs wrote it, is read", "[evacuation]")
+TEST_CASE("a snapshot of an older version without evacuations can be read", "[evacuation]")
 {
     StoreFixture f;
     f.accept({StoreFixture::step(1)});
     constexpr std::size_t markBytes = 11;
-    constexpr std::size_t emptyTailBytes = 4; // no evacuated domains, losses, changed rooms
+    constexpr std::size_t emptyTailBytes = 4; // no evacuated domains, losses or changed capacities
     const std::string snapshot = f.store.snapshot();
     const std::string older =
         snapshot.substr(markBytes, snapshot.size() - markBytes - emptyTailBytes);
@@ -144,7 +144,7 @@
     CHECK(read.snapshot() == snapshot);
 }
 
-TEST_CASE_METHOD(EvacuationFixture, "work goes round an evacuated domain, and runs there end",
+TEST_CASE_METHOD(EvacuationFixture, "work avoids an evacuated domain, and its runs may finish",
                  "[evacuation]")
 {
     this->submit(job, {StoreFixture::step(12)});
@@ -153,7 +153,7 @@
     REQUIRE(before > 0);
     this->evacuate("d1", true);
     this->runFor(Milliseconds(100));
-    CHECK(this->placedIn("d1") == before); // nothing is stopped
+    CHECK(this->placedIn("d1") == before); // no run is stopped
     this->submit(static_cast<WorkflowId>(2), {StoreFixture::step(8)});
     this->runFor(Milliseconds(15000));
     CHECK(this->isAllOver());
@@ -175,7 +175,7 @@
     CHECK(this->fleet.startsInEvacuated == 0);
 }
 
-TEST_CASE_METHOD(EvacuationFixture, "a start without an answer is not sent again after evacuation",
+TEST_CASE_METHOD(EvacuationFixture, "an unanswered start is not sent again after an evacuation",
                  "[evacuation]")
 {
     this->evacuate("d0", true);
@@ -209,7 +209,7 @@
     CHECK_FALSE(this->controller().isFullyEvacuated("q"));
 }
 
-TEST_CASE("the checker sees a start in an evacuated domain", "[evacuation]")
+TEST_CASE("the simulated fleet reports a start in an evacuated domain", "[evacuation]")
 {
     VirtualLoop loop;
     SimulatedFleet fleet(loop, 1);
@@ -230,7 +230,7 @@
     CHECK(fleet.violation.find("is evacuated") != std::string::npos);
 }
 
-TEST_CASE("a cold target is used when the others have no room", "[evacuation]")
+TEST_CASE("a cold target is used only if the others have no room", "[evacuation]")
 {
     PlanFixture f(2);
     f.cold.insert(f.incarnation(1));
@@ -243,8 +243,8 @@
     CHECK(placed[f.incarnation(1)] == 1);
 }
 
-TEST_CASE("evacuations in series, cut targets and changes of controller start nothing too late",
+TEST_CASE("no run is started too late in an evacuated domain under random faults",
           "[random][evacuation]")
 {
-    runSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, runSeed);
 }
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -18,7 +18,7 @@
 
 constexpr unsigned largeFleet = 1000;
 
-/// Workflows of one step: single tasks, and every fourth one a gang.
+/// Submits workflows of one step: single tasks, and every fourth one a gang.
 void submitMany(Simulation &simulation, std::uint64_t &lastId, int count)
 {
     for (int i = 0; i < count; ++i) {
@@ -63,9 +63,10 @@
 
 } // namespace
 
-// Guards against tasks run twice or never when a controller of many targets is slow, short of
-// connections and replaced.
-TEST_CASE("a large fleet runs each task once under controllers that are slow and short", "[large]")
+// Guards against tasks that run twice or never when a controller of many targets is slow, lacks
+// connections and is replaced.
+TEST_CASE("a large fleet runs each task once under slow controllers that lack connections",
+          "[large]")
 {
     spdlog::set_level(spdlog::level::off);
     const char *wanted = std::getenv("GUAVAVALVE_LARGE_SEEDS");
@@ -91,8 +92,8 @@
     }
 }
 
-// Guards against a controller that takes sound targets out because it is short of connections.
-TEST_CASE("a controller without connections to spare keeps its targets", "[large]")
+// Guards against a controller that removes healthy targets because it lacks free connections.
+TEST_CASE("a controller without free connections keeps its targets", "[large]")
 {
     spdlog::set_level(spdlog::level::off);
     Simulation simulation(1, largeFleet);
@@ -108,8 +109,8 @@
     CHECK(simulation.isAllOver());
 }
 
-// Guards against a new controller that spends all its time on the first questions to its targets.
-TEST_CASE("a new controller of many targets asks them one after the other", "[large]")
+// Guards against a new controller that is fully occupied by the first requests to its targets.
+TEST_CASE("a new controller spreads the first requests to its targets over time", "[large]")
 {
     spdlog::set_level(spdlog::level::off);
     Simulation simulation(1, largeFleet);
--- a/test/workflows/planfixture.h
+++ b/test/workflows/planfixture.h
@@ -12,8 +12,8 @@
 
 namespace guavavalve::workflows {
 
-/// Plans on a book whose workflow is in queue "q", with all targets open but those said to be
-/// closed.
+/// Makes plans on a store whose workflow is in queue "q". All targets are open except those in
+/// \a closed.
 class PlanFixture : public StoreFixture
 {
 public:
@@ -40,8 +40,8 @@
                          this->openQueries});
     }
 
-    /// Plans, and carries the placements out.
-    std::size_t carryOut()
+    /// Makes a plan and applies its placements; returns the number of tasks placed.
+    std::size_t applyPlan()
     {
         std::size_t placed = 0;
         for (const PlaceRuns &command : this->plan().placements) {
@@ -51,7 +51,7 @@
         return placed;
     }
 
-    /// Accepts a workflow of one step beside the fixture's own.
+    /// Accepts a workflow of one step in addition to the fixture's own.
     void add(unsigned id, const std::string &queue, const StepSpec &spec)
     {
         WorkflowSpec workflow;
@@ -62,7 +62,7 @@
         this->apply(AcceptWorkflow{workflow});
     }
 
-    void needAdvice()
+    void needAdmission()
     {
         this->policy.queues["q"].needsAdmission = true;
         this->policy.queues["q"].queryBaseMs = 500;
--- a/test/workflows/plannertest.cpp
+++ b/test/workflows/plannertest.cpp
@@ -5,41 +5,41 @@
 using namespace guavavalve;
 using namespace guavavalve::workflows;
 
-TEST_CASE_METHOD(PlanFixture, "tasks fill what room there is and no more", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "tasks are placed only as far as targets have room", "[planner]")
 {
     this->accept({step(13)}); // three targets hold four each
-    CHECK(this->carryOut() == 12);
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 12);
+    CHECK(this->applyPlan() == 0);
     CHECK(this->plan().summary.waitingTasks.at(0) == 1);
 }
 
 TEST_CASE_METHOD(PlanFixture, "a gang is placed whole or not at all", "[planner]")
 {
     this->accept({gang(13)});
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 0);
     this->registerIncarnation("t4", 1);
-    CHECK(this->carryOut() == 13);
+    CHECK(this->applyPlan() == 13);
 }
 
 TEST_CASE_METHOD(PlanFixture, "a gang waits until all members of its last run are over",
                  "[planner]")
 {
     this->accept({gang(2)});
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
     this->end(0, 0, 1, RunOutcome::Lost);
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 0);
     this->end(0, 1, 1, RunOutcome::Broken);
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
     CHECK(this->task(0, 0).run == 2);
     CHECK(this->task(0, 1).run == 2);
 }
 
-TEST_CASE_METHOD(PlanFixture, "each task counts its own starts", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "run numbers are counted for each task", "[planner]")
 {
     this->accept({step(2)});
     this->place(0, 1, {1});
     this->end(0, 0, 1, RunOutcome::Failed);
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
     CHECK(this->task(0, 0).run == 2);
     CHECK(this->task(0, 1).run == 1);
 }
@@ -50,28 +50,28 @@
     account.limit[ResourceKind::MilliCores] = 2500;
     this->policy.accounts["a"] = account;
     this->accept({step(6)});
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
 }
 
-TEST_CASE_METHOD(PlanFixture, "a label, a service and a bound for each target are kept",
-                 "[planner]")
+TEST_CASE_METHOD(PlanFixture, "placement respects label, service and limit per target", "[planner]")
 {
     StepSpec spec = step(6);
     spec.maxPerTarget = 1;
     this->accept({spec});
-    CHECK(this->carryOut() == 3);
+    CHECK(this->applyPlan() == 3);
     StoreFixture labelled;
     spec.label = "fast";
     labelled.accept({spec});
     this->store = labelled.store;
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 0);
     this->store = StoreFixture().store;
     this->accept({step(1)});
     this->policy.queues["q"].service = "other";
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 0);
 }
 
-TEST_CASE_METHOD(PlanFixture, "tasks go where their data is while there is room", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "tasks are placed on the rack of their data while it has room",
+                 "[planner]")
 {
     TargetIdentity near;
     near.name = "near";
@@ -83,12 +83,11 @@
     StepSpec spec = step(2);
     spec.dataRack = "r1-1";
     this->accept({spec});
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
     CHECK(this->store.find(incarnation(4))->placed.size() == 2);
 }
 
-TEST_CASE_METHOD(PlanFixture, "more urgent queues come first, then the nearer objective",
-                 "[planner]")
+TEST_CASE_METHOD(PlanFixture, "a more urgent queue is placed first", "[planner]")
 {
     this->policy.queues["urgent"] = this->policy.queues["q"];
     this->policy.queues["q"].priority = 2;
@@ -104,10 +103,10 @@
     CHECK(made.placements[0].step.workflow == urgent.id);
 }
 
-TEST_CASE_METHOD(PlanFixture, "without an admission nothing is placed, and it is asked for",
+TEST_CASE_METHOD(PlanFixture, "a step without an admission is not placed but queried about",
                  "[planner]")
 {
-    this->needAdvice();
+    this->needAdmission();
     this->accept({step(2)});
     const Plan first = this->plan();
     CHECK(first.placements.empty());
@@ -118,13 +117,13 @@
     this->admissions[at(0)].asked.clear();
     this->admissions[at(0)].refused = {incarnation(1), incarnation(3)};
     this->admit(2, Milliseconds(1500));
-    CHECK(this->carryOut() == 2);
+    CHECK(this->applyPlan() == 2);
     CHECK(this->store.find(incarnation(2))->placed.size() == 2);
 }
 
-TEST_CASE_METHOD(PlanFixture, "a ticket that is about to run out is not used", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "a ticket that is about to expire is not used", "[planner]")
 {
-    this->needAdvice();
+    this->needAdmission();
     this->accept({step(1)});
     this->admissions[at(0)].refused = {incarnation(1), incarnation(3)};
     this->admit(2, Milliseconds(100));
@@ -134,13 +133,13 @@
     CHECK(made.queries[0].targets == std::vector<IncarnationId>{incarnation(2)});
 }
 
-TEST_CASE_METHOD(PlanFixture, "a gang's tickets are renewed only where all of it has room",
+TEST_CASE_METHOD(PlanFixture, "a gang's tickets are renewed only if all of it has room",
                  "[planner]")
 {
-    // A question about a gang costs half a second of a service that answers one at a time. Gangs
-    // that asked whenever their tickets had run out took two thirds of its time, and short steps
-    // waited behind them.
-    this->needAdvice();
+    // Guards against queries that cannot help. One about a gang takes half a second of a service
+    // that answers one at a time. Gangs that renewed their tickets whenever these expired used two
+    // thirds of its time, and short steps waited behind them.
+    this->needAdmission();
     this->accept({gang(6)});
     this->admissions[at(0)].refused = {incarnation(3)};
     this->admit(1, Milliseconds(0));
@@ -156,16 +155,16 @@
     CHECK(this->plan().queries.empty());
 }
 
-TEST_CASE_METHOD(PlanFixture, "claimed room is kept for its step", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "claimed room is reserved for its step", "[planner]")
 {
-    // A gang's room was taken by small tasks while its question was under way, and it asked again
-    // for ever.
+    // Guards against a gang that repeats its query indefinitely because small tasks take its room
+    // while the query is pending.
     this->policy.queues["small"] = this->policy.queues["q"];
     this->accept({gang(12)});
     this->add(3, "small", step(4));
     this->claims[at(0)] = {{{incarnation(1), 4}, {incarnation(2), 4}, {incarnation(3), 4}},
                            this->now + Milliseconds(500)};
-    this->needAdvice();
+    this->needAdmission();
     CHECK(this->plan().placements.empty());
     for (unsigned i = 1; i <= 3; ++i)
         this->admit(i, Milliseconds(1500));
@@ -174,15 +173,15 @@
     CHECK(made.placements[0].step == at(0));
     this->claims[at(0)].until = this->now;
     this->admissions.clear();
-    CHECK(this->plan().placements.size() == 1); // a claim that has run out keeps nothing
+    CHECK(this->plan().placements.size() == 1); // an expired claim reserves nothing
 }
 
-// Guards against urgent work that waits while room stands empty for the questions of other work.
-TEST_CASE_METHOD(PlanFixture, "room that less urgent work claims may be used", "[planner]")
+// Guards against urgent work that waits while room is idle because less urgent work claims it.
+TEST_CASE_METHOD(PlanFixture, "urgent work may use room that less urgent work claims", "[planner]")
 {
     this->policy.queues["urgent"] = this->policy.queues["q"];
     this->policy.queues["q"].priority = 1;
-    this->needAdvice();
+    this->needAdmission();
     this->accept({gang(12)});
     this->claims[at(0)] = {{{incarnation(1), 4}, {incarnation(2), 4}, {incarnation(3), 4}},
                            this->now + Milliseconds(500)};
@@ -193,17 +192,17 @@
     CHECK(made.placements[0].placements.size() == 4);
 }
 
-TEST_CASE_METHOD(PlanFixture, "room is let gather for a gang that waits", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "room is reserved for a waiting gang", "[planner]")
 {
-    // The cell is full, and small tasks end one by one. Each gap went to the next small task, and
-    // the gang, which needs a whole target, never started.
+    // Guards against a gang that never starts: in a full cell small tasks end one by one, and each
+    // gap went to the next small task, although the gang needs a whole target.
     this->policy.queues["small"] = this->policy.queues["q"];
     this->policy.queues["small"].priority = 1;
     WorkflowSpec running;
     running.id = static_cast<WorkflowId>(3);
     running.queue = "small";
     running.account = "a";
-    running.steps = {step(9)}; // one of four places on each target stays free
+    running.steps = {step(9)}; // one of four slots on each target stays free
     this->apply(AcceptWorkflow{running});
     PlaceRuns command{{running.id, 0, 0}, 1, {}};
     for (std::uint16_t i = 0; i < 9; ++i)
@@ -212,42 +211,45 @@
     WorkflowSpec waiting = running;
     waiting.id = static_cast<WorkflowId>(4);
     this->apply(AcceptWorkflow{waiting});
-    CHECK(this->plan().placements.size() == 1); // without the gang they go into the gaps
+    CHECK(this->plan().placements.size() == 1); // without the gang, small tasks fill the gaps
     this->accept({gang(6)});
     CHECK(this->plan().placements.empty());
 }
 
-TEST_CASE_METHOD(PlanFixture, "a target on probation takes one task that is no member of a gang",
+TEST_CASE_METHOD(PlanFixture, "a target on probation takes one task and no gang member",
                  "[planner]")
 {
     this->onProbation = {incarnation(1), incarnation(2), incarnation(3)};
     this->accept({step(6)});
-    CHECK(this->carryOut() == 3);
+    CHECK(this->applyPlan() == 3);
     this->store = StoreFixture().store;
     this->accept({gang(2)});
-    CHECK(this->carryOut() == 0);
+    CHECK(this->applyPlan() == 0);
 }
 
-TEST_CASE_METHOD(PlanFixture, "a task that failed goes elsewhere if there is a choice", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "a failed task is retried on another target if there is a choice",
+                 "[planner]")
 {
-    // A target that fails everything had room for the second try too, and a job with two attempts
-    // was given up.
+    // Guards against jobs that fail because of one bad target: a target that fails everything also
+    // had room for the second attempt, and a job with two attempts was given up.
     this->accept({step(1)});
     this->place(0, 1, {2});
     this->end(0, 0, 1, RunOutcome::Failed);
-    this->place(0, 2, {1}); // the fullest but one, which the next try would prefer
+    this->place(0, 2, {1}); // the second fullest, which the next attempt would prefer
     this->end(0, 0, 2, RunOutcome::Failed, 9);
-    CHECK(this->carryOut() == 1);
+    CHECK(this->applyPlan() == 1);
     CHECK(this->task(0, 0).incarnation != incarnation(1));
     this->end(0, 0, 3, RunOutcome::Lost);
     this->closed = {incarnation(2), incarnation(3)};
-    CHECK(this->carryOut() == 1);
+    CHECK(this->applyPlan() == 1);
 }
 
-TEST_CASE_METHOD(PlanFixture, "what is late already does not make others late", "[planner]")
+TEST_CASE_METHOD(PlanFixture, "workflows that are already late are placed after the others",
+                 "[planner]")
 {
-    // In a cell that cannot serve all, jobs were taken by when their objective ends: the oldest,
-    // late already, came first, and the others were late in turn: 37 of 92 large jobs in time.
+    // Guards against a cascade of late jobs in an overloaded cell: ordered by objective alone, the
+    // oldest jobs, already late, came first and made the others late too. Only 37 of 92 large jobs
+    // were on time.
     this->policy.queues["q"].slackMs = 500;
     StepSpec whole = gang(12); // the whole cell
     whole.estimatedMs = 1000;
@@ -269,8 +271,8 @@
 
 namespace {
 
-/// Twelve targets that hold four tasks each, with three small ones on each; and gangs that wait for
-/// room for two tasks on one target.
+/// Twelve targets with room for four tasks each, three of which are taken by small ones. The tasks
+/// of a wide gang need the room of two tasks on one target.
 class CrowdedCell : public PlanFixture
 {
 public:
@@ -297,19 +299,20 @@
 
 } // namespace
 
-TEST_CASE_METHOD(CrowdedCell, "room gathers for gangs in a sixth of the cell at most", "[planner]")
+TEST_CASE_METHOD(CrowdedCell, "at most a sixth of the cell is reserved for waiting gangs",
+                 "[planner]")
 {
-    // Room for each gang that waited stood empty in a full cell, and the batch steps that could
-    // have had it were late instead.
+    // Guards against too much reserved room: in a full cell room was reserved for every waiting
+    // gang and stayed idle, and batch steps that could have used it were late.
     for (unsigned id = 1; id <= 3; ++id)
         this->add(id, "q", wideGang(4));
-    CHECK(this->carryOut() == 8); // the four of the first gang stay empty
+    CHECK(this->applyPlan() == 8); // the gaps on the first gang's four targets stay empty
 }
 
-TEST_CASE_METHOD(CrowdedCell, "no room gathers for a gang that can never start", "[planner]")
+TEST_CASE_METHOD(CrowdedCell, "no room is reserved for a gang that can never start", "[planner]")
 {
-    // Someone handed in a gang that is larger than all targets together. What the others needed
-    // was kept for it for ever.
+    // Guards against room that is reserved forever for a gang that is larger than all targets
+    // together.
     this->add(1, "q", wideGang(25));
-    CHECK(this->carryOut() == 12);
+    CHECK(this->applyPlan() == 12);
 }
--- a/test/workflows/randomfleettest.cpp
+++ b/test/workflows/randomfleettest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Seeds that a run without a number plays: a few seconds.
+/// Number of seeds unless GUAVAVALVE_SEEDS is set; takes a few seconds.
 constexpr std::uint64_t defaultSeeds = 150;
 
 void disturb(Simulation &simulation, std::mt19937_64 &random)
@@ -58,7 +58,7 @@
     }
 }
 
-void play(std::uint64_t seed)
+void runSeed(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed);
@@ -73,13 +73,12 @@
 
 } // namespace
 
-TEST_CASE(
-    "targets that crash, are cut, drain, or carry orders out late run each task once at a time",
-    "[random]")
+TEST_CASE("no task has two runs at once under crashes, cut connections, drains and late orders",
+          "[random]")
 {
-    // The promises that a workflow's caller relies on, under everything at once: orders and
-    // answers lost, orders carried out up to 12 s late, targets cut both ways or one way, crashes
-    // and rebirths under the old name, drains, and controllers that go on for a while after they
-    // were replaced. GUAVAVALVE_SEEDS names how many seeds are played.
-    runSeeds(defaultSeeds, play);
+    // Checks the guarantees to a workflow's caller under all faults at once: orders and answers are
+    // lost, orders are executed up to 12 s late, targets are cut off both ways or one way, crash
+    // and restart under the same name, and drain, and controllers keep running for a while after
+    // they were replaced. GUAVAVALVE_SEEDS sets the number of seeds.
+    runSeeds(defaultSeeds, runSeed);
 }
--- a/test/workflows/randomrounds.cpp
+++ b/test/workflows/randomrounds.cpp
@@ -30,14 +30,15 @@
 
 } // namespace
 
-void runSeeds(std::uint64_t usual, const std::function<void(std::uint64_t seed)> &play)
+void runSeeds(std::uint64_t defaultCount, const std::function<void(std::uint64_t seed)> &runSeed)
 {
     spdlog::set_level(spdlog::level::off);
     const char *wanted = std::getenv("GUAVAVALVE_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
+    const std::uint64_t seeds =
+        wanted == nullptr ? defaultCount : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         INFO("seed " << seed);
-        play(seed);
+        runSeed(seed);
     }
 }
 
--- a/test/workflows/randomrounds.h
+++ b/test/workflows/randomrounds.h
@@ -9,26 +9,27 @@
 
 namespace guavavalve::workflows {
 
-/// Runs \a play for each seed from 1 on: as many as GUAVAVALVE_SEEDS names, or \a usual ones.
-void runSeeds(std::uint64_t usual, const std::function<void(std::uint64_t seed)> &play);
+/// Calls \a runSeed for each seed from 1 to GUAVAVALVE_SEEDS, or to \a defaultCount if that is not
+/// set.
+void runSeeds(std::uint64_t defaultCount, const std::function<void(std::uint64_t seed)> &runSeed);
 
-/// How rounds of random work and trouble are played.
+/// Parameters of the rounds of random work and faults.
 struct RandomRounds
 {
-    int maxSteps = 3; ///< of a workflow
-    int roundsPerDisturbance = 4; ///< one round in so many has a disturbance
+    int maxSteps = 3; ///< of each workflow
+    int roundsPerDisturbance = 4; ///< one round in this many has a fault, on average
     std::function<void()> disturb;
 };
 
-/// Plays sixty rounds in which every second one hands in a workflow; returns how many there were.
+/// Runs sixty rounds, every second of which submits a workflow; returns the number of workflows.
 std::uint64_t runRounds(Simulation &simulation, std::mt19937_64 &random,
                         const RandomRounds &rounds);
 
-/// The name of one of the fleet's targets, by chance.
+/// The name of a random target of the fleet.
 std::string randomTarget(const Simulation &simulation, std::mt19937_64 &random);
 
-/// Lets everything that was handed in come to its end; checks that it does, and that no target has
-/// seen a breach.
+/// Gives all submitted workflows time to finish; checks that they do, and that no target has seen a
+/// violation.
 void checkOutcome(Simulation &simulation, std::uint64_t seed);
 
 } // namespace guavavalve::workflows
--- a/test/workflows/resizetest.cpp
+++ b/test/workflows/resizetest.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-void play(std::uint64_t seed)
+void runSeed(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed);
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ResizeFixture, "a target whose room has shrunk is given no more than it has left",
+TEST_CASE_METHOD(ResizeFixture, "a target that has shrunk is given no more than its new capacity",
                  "[resize]")
 {
     this->resize("t1", 1000);
@@ -84,8 +84,7 @@
     CHECK(this->stateOf(job) == WorkflowState::Completed);
 }
 
-TEST_CASE_METHOD(ResizeFixture, "room that has grown back is used, by a later controller too",
-                 "[resize]")
+TEST_CASE_METHOD(ResizeFixture, "restored capacity is used, also by a later controller", "[resize]")
 {
     this->resize("t1", 0);
     this->runFor(Milliseconds(2000));
@@ -99,7 +98,7 @@
     CHECK(this->placedOn("t1") == 4);
 }
 
-TEST_CASE("a placement that was decided before the room shrank is rejected", "[resize][book]")
+TEST_CASE("a placement that no longer fits after its target shrank is rejected", "[resize][book]")
 {
     StoreFixture f(1);
     f.accept({f.step(2)});
@@ -110,7 +109,7 @@
     CHECK(f.place(0, 1, {1}) == CommandOutcome::Applied);
 }
 
-TEST_CASE("a late report of a room that has shrunk since changes nothing", "[resize][book]")
+TEST_CASE("an outdated capacity report changes nothing", "[resize][book]")
 {
     StoreFixture f(1);
     Resources room = f.store.find(f.incarnation(1))->identity.capacity;
@@ -126,8 +125,8 @@
           == CommandOutcome::Applied);
 }
 
-TEST_CASE("rooms that shrink and grow are never overdrawn, whatever else happens",
+TEST_CASE("targets that shrink and grow are never overcommitted under random faults",
           "[resize][random]")
 {
-    runSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, runSeed);
 }
--- a/test/workflows/simulatedagents.cpp
+++ b/test/workflows/simulatedagents.cpp
@@ -91,7 +91,7 @@
     std::vector<InstanceId> found;
     for (const auto &[name, agent] : this->agents) {
         if (agent.isUp)
-            found.push_back(name); // one that is frozen has reported a moment ago
+            found.push_back(name); // a frozen one still counts: its last report is recent
     }
     return found;
 }
--- a/test/workflows/simulatedagents.h
+++ b/test/workflows/simulatedagents.h
@@ -12,23 +12,23 @@
 
 namespace guavavalve::workflows {
 
-/// Instances that carry a controller's orders, on a virtual clock: they can be killed, and frozen
-/// with orders in hand that they carry out when they wake.
+/// Instances that forward a controller's orders, on a virtual clock. They can be killed, or frozen
+/// with pending orders that they forward when they resume.
 class SimulatedAgents
 {
 public:
     SimulatedAgents(VirtualLoop &loop, TargetPort &fleet, unsigned agents);
     ~SimulatedAgents();
 
-    /// A controller's port: its own connections reach \a targetsPerAgent targets.
+    /// A controller's port, whose own connections reach \a targetsPerAgent targets.
     std::unique_ptr<TargetAgents> portOf(std::size_t targetsPerAgent);
 
     void kill(unsigned agent);
     void freeze(unsigned agent);
-    /// Back, or awake: what was waiting for a frozen one is carried now.
+    /// Restarts a killed agent, or resumes a frozen one, which then forwards its pending orders.
     void wake(unsigned agent);
 
-    std::size_t carried = 0; ///< orders that agents have taken in
+    std::size_t carried = 0; ///< number of orders that agents have accepted
 
 private:
     class AgentMessenger;
--- a/test/workflows/simulatedfleet.cpp
+++ b/test/workflows/simulatedfleet.cpp
@@ -10,20 +10,21 @@
 
 namespace {
 
-constexpr std::int64_t longestLeaseMs = 6000;
-constexpr int shortestRunMs = 200;
-constexpr int longestRunMs = 3000;
-/// The targets' clocks run 2% slow: the worst that the contract allows.
+constexpr std::int64_t maxLeaseMs = 6000;
+constexpr int minRunMs = 200;
+constexpr int maxRunMs = 3000;
+/// The targets' clocks run 2% slow, the maximum drift that the contract allows.
 constexpr std::int64_t clockPerThousand = 980;
-/// After which nothing may be started any more that a shrunk room does not hold: 3 s and a
-/// heartbeat.
+/// Starts that exceed a reduced capacity are tolerated for this long: 3 s plus one heartbeat
+/// interval.
 constexpr Milliseconds shrinkGrace{4500};
-/// From a start until the task crashes its target.
+/// Delay from the start of a crashing task to the crash of its target.
 constexpr Milliseconds crashDelay{10};
-/// A task that has crashed this many targets may be started less often than this again.
+/// A task that has crashed toleratedCrashes targets must be started fewer than furtherStartLimit
+/// times again.
 constexpr std::size_t toleratedCrashes = 3;
-constexpr std::size_t startsTooMany = 3;
-/// An order that is sent this long after its target's failure domain was evacuated is a breach.
+constexpr std::size_t furtherStartLimit = 3;
+/// A start that is sent this long after its target's failure domain was evacuated is a violation.
 constexpr Milliseconds evacuationBound{5000};
 
 } // namespace
@@ -38,7 +39,7 @@
     return std::uniform_real_distribution<>(0.0, 1.0)(this->random) < probability;
 }
 
-Milliseconds SimulatedFleet::between(int from, int to)
+Milliseconds SimulatedFleet::randomDelay(int from, int to)
 {
     return Milliseconds(std::uniform_int_distribution<>(from, to)(this->random));
 }
@@ -53,7 +54,7 @@
     target.identity.failureDomain = failureDomain;
     target.identity.rack = "r0-0";
     target.identity.capacity[ResourceKind::MilliCores] = milliCores;
-    target.bornAt = this->loop.now();
+    target.startedAt = this->loop.now();
     this->targets[name] = target;
     return target.identity;
 }
@@ -71,7 +72,7 @@
     Target &target = this->targets.at(name);
     std::int64_t &room = target.identity.capacity[ResourceKind::MilliCores];
     const bool isBound = this->loop.now() > target.shrinkBindsAt;
-    target.roomBefore = isBound ? room : std::max(room, target.roomBefore);
+    target.previousCapacity = isBound ? room : std::max(room, target.previousCapacity);
     target.shrinkBindsAt = this->loop.now() + shrinkGrace;
     room = milliCores;
 }
@@ -100,18 +101,18 @@
 {
     Target &target = this->targets.at(name);
     const TargetIdentity before = target.identity;
-    target.isUp = true; // what is sent to the old one is answered by the new one
+    target.isUp = true; // requests to the old target are answered by the new one
     target.identity.startedAtMs = this->loop.nowMs();
     this->add(successor, before.capacity[ResourceKind::MilliCores], before.failureDomain);
 }
 
-/// Guards the rule that a task is not started over and over that crashes what it is started on.
+/// Checks that a task which crashes its targets is not started again and again.
 void SimulatedFleet::checkCrashes(const StartOrder &order)
 {
     const auto found = this->crashes.find(order.task);
     if (found == this->crashes.end() || found->second < toleratedCrashes)
         return;
-    if (++this->startsBeyond[order.task] == startsTooMany)
+    if (++this->furtherStarts[order.task] == furtherStartLimit)
         this->report("task " + std::to_string(order.task.index) + " of "
                      + workflowName(order.task.step.workflow)
                      + " is started again and again although it crashes its targets");
@@ -161,14 +162,14 @@
 std::int64_t SimulatedFleet::clockOf(const Target &target) const
 {
     const auto age =
-        std::chrono::duration_cast<Milliseconds>(this->loop.now() - target.bornAt).count();
+        std::chrono::duration_cast<Milliseconds>(this->loop.now() - target.startedAt).count();
     return 1 + age * clockPerThousand / 1000;
 }
 
-/// Delivers a request and its answer, each after a while, or loses one or both.
+/// Delivers a request and its answer, each after a delay, or loses one or both.
 template<typename Answer>
-void SimulatedFleet::carry(const std::string &name, bool mayBeLate, Instant deadline,
-                           Done<Answer> done, std::function<Answer(Target &)> act)
+void SimulatedFleet::deliver(const std::string &name, bool mayBeLate, Instant deadline,
+                             Done<Answer> done, std::function<Answer(Target &)> act)
 {
     auto answered = std::make_shared<bool>(false);
     const auto remaining = deadline - this->loop.now();
@@ -182,7 +183,7 @@
     const bool isLate = mayBeLate && this->chance(this->faults.lateOrder);
     if (!isLate && this->chance(this->faults.lostRequest))
         return;
-    const Milliseconds delay = isLate ? this->between(2000, 12000) : this->between(1, 4);
+    const Milliseconds delay = isLate ? this->randomDelay(2000, 12000) : this->randomDelay(1, 4);
     this->loop.runAfter(delay, [this, name, isLate, answered, done, act] {
         Target &target = this->targets.at(name);
         if (!target.isUp || (target.isCut && !isLate))
@@ -191,7 +192,7 @@
         const Answer answer = act(target);
         if (isLate || target.isCutOneWay || this->chance(this->faults.lostAnswer))
             return;
-        this->loop.runAfter(this->between(1, 4), [answered, done, answer] {
+        this->loop.runAfter(this->randomDelay(1, 4), [answered, done, answer] {
             if (!std::exchange(*answered, true))
                 done(answer);
         });
@@ -200,7 +201,7 @@
 
 void SimulatedFleet::renew(Target &target, std::int64_t leaseUntilMs)
 {
-    const std::int64_t longest = this->clockOf(target) + longestLeaseMs;
+    const std::int64_t longest = this->clockOf(target) + maxLeaseMs;
     target.leaseUntilMs = std::max(target.leaseUntilMs, std::min(leaseUntilMs, longest));
     const std::string name = target.identity.name;
     const std::int64_t left = target.leaseUntilMs - this->clockOf(target);
@@ -265,15 +266,15 @@
         if (one.isUp && one.running.count(order.task) != 0)
             this->report("two runs of " + name + " at once");
     }
-    if (this->noted.count(order.task) != 0)
-        this->report(name + " is started after its success was taken note of");
+    if (this->acknowledged.count(order.task) != 0)
+        this->report(name + " is started after its success was acknowledged");
     const std::int64_t used =
         this->usedOf(target) + this->specOf(order.task).need[ResourceKind::MilliCores];
     std::int64_t room = target.identity.capacity[ResourceKind::MilliCores];
     if (this->loop.now() < target.shrinkBindsAt)
-        room = std::max(room, target.roomBefore);
+        room = std::max(room, target.previousCapacity);
     if (used > room)
-        this->report(name + " is over the room of " + target.identity.name);
+        this->report(name + " exceeds the capacity of " + target.identity.name);
     for (const std::uint16_t earlier : this->specOf(order.task).dependencies) {
         TaskAddress before{{order.task.step.workflow, order.task.step.occurrence, earlier}, 0};
         for (; before.index < this->specOf(before).tasks; ++before.index) {
@@ -305,7 +306,7 @@
                      + " is evacuated");
 }
 
-OrderAnswer SimulatedFleet::begin(Target &target, const StartOrder &order, Instant sentAt)
+OrderAnswer SimulatedFleet::startRun(Target &target, const StartOrder &order, Instant sentAt)
 {
     OrderAnswer answer;
     answer.clockMs = this->clockOf(target);
@@ -331,7 +332,7 @@
     this->checkDomain(target, order, sentAt);
     this->checkCrashes(order);
     ++this->starts;
-    const std::uint64_t serial = ++this->serials;
+    const std::uint64_t serial = ++this->lastSerial;
     target.running[order.task] = {order.run, serial, order.checkpoint};
     if (this->crashing.count(order.task) != 0)
         this->crashSoon(target.identity.name, order.task, serial);
@@ -339,7 +340,7 @@
         this->finishGang(order.task, order.run);
         return answer;
     }
-    const Milliseconds duration = this->between(shortestRunMs, longestRunMs);
+    const Milliseconds duration = this->randomDelay(minRunMs, maxRunMs);
     target.running[order.task].startedAt = this->loop.now();
     target.running[order.task].duration = duration;
     this->loop.runAfter(duration, [this, name = target.identity.name, task = order.task, serial] {
@@ -372,7 +373,7 @@
     this->endRun(target, task, fails ? RunOutcome::Failed : RunOutcome::Succeeded);
 }
 
-/// Once all members of a run are there, they end together.
+/// Ends all members of a gang's run together, some time after the last one has started.
 void SimulatedFleet::finishGang(const TaskAddress &member, RunNumber run)
 {
     std::vector<std::tuple<std::string, TaskAddress, std::uint64_t>> members;
@@ -384,12 +385,12 @@
     }
     if (members.size() < this->specOf(member).tasks)
         return;
-    this->loop.runAfter(this->between(shortestRunMs, longestRunMs), [this, members] {
+    this->loop.runAfter(this->randomDelay(minRunMs, maxRunMs), [this, members] {
         for (const auto &[name, task, serial] : members) {
             const auto &running = this->targets.at(name).running;
             const auto found = running.find(task);
             if (found == running.end() || found->second.serial != serial)
-                return; // it was broken
+                return; // the gang was broken
         }
         for (const auto &[name, task, serial] : members)
             this->endRun(this->targets.at(name), task, RunOutcome::Succeeded);
@@ -400,27 +401,27 @@
                            Done<OrderAnswer> done)
 {
     if (this->faults.unsentStart > 0 && this->chance(this->faults.unsentStart)) {
-        this->loop.runAfter(this->between(1, 250), [done = std::move(done)] {
+        this->loop.runAfter(this->randomDelay(1, 250), [done = std::move(done)] {
             done(failure(ErrorCode::LimitExceeded, "no connection came free"));
         });
         return;
     }
-    this->carry<OrderAnswer>(
+    this->deliver<OrderAnswer>(
         target.name, true, deadline, std::move(done),
-        [this, order, born = target.startedAtMs, sentAt = this->loop.now()](Target &at) {
-            if (at.identity.startedAtMs != born)
+        [this, order, startedAtMs = target.startedAtMs, sentAt = this->loop.now()](Target &at) {
+            if (at.identity.startedAtMs != startedAtMs)
                 return OrderAnswer{OrderReply::OtherLife, 0};
-            return this->begin(at, order, sentAt);
+            return this->startRun(at, order, sentAt);
         });
 }
 
 void SimulatedFleet::stop(const TargetIdentity &target, const StopOrder &order, Instant deadline,
                           Done<OrderAnswer> done)
 {
-    this->carry<OrderAnswer>(
+    this->deliver<OrderAnswer>(
         target.name, true, deadline, std::move(done),
-        [this, order, born = target.startedAtMs](Target &at) {
-            if (at.identity.startedAtMs != born)
+        [this, order, startedAtMs = target.startedAtMs](Target &at) {
+            if (at.identity.startedAtMs != startedAtMs)
                 return OrderAnswer{OrderReply::OtherLife, 0};
             if (order.term < at.fence)
                 return OrderAnswer{OrderReply::Fenced, this->clockOf(at)};
@@ -428,7 +429,7 @@
             at.settled[order.task] = std::max(at.settled[order.task], order.run);
             const auto found = at.running.find(order.task);
             if (found != at.running.end() && found->second.run <= order.run) {
-                this->loop.runAfter(this->between(0, 200),
+                this->loop.runAfter(this->randomDelay(0, 200),
                                     [this, name = at.identity.name, task = order.task,
                                      serial = found->second.serial] {
                                         Target &later = this->targets.at(name);
@@ -446,12 +447,12 @@
                           Done<HoldAnswer> done)
 {
     ++this->holds;
-    this->carry<HoldAnswer>(
+    this->deliver<HoldAnswer>(
         target.name, false, deadline, std::move(done),
-        [this, order, born = target.startedAtMs](Target &at) {
+        [this, order, startedAtMs = target.startedAtMs](Target &at) {
             HoldAnswer answer;
             answer.reply = OrderReply::OtherLife;
-            if (at.identity.startedAtMs != born)
+            if (at.identity.startedAtMs != startedAtMs)
                 return answer;
             answer.clockMs = this->clockOf(at);
             answer.reply = OrderReply::Fenced;
@@ -467,7 +468,7 @@
                 });
             for (auto end = forgotten; end != at.ends.end(); ++end) {
                 if (end->outcome == RunOutcome::Succeeded && end->number > at.lapsedEnds)
-                    this->noted.insert(end->task);
+                    this->acknowledged.insert(end->task);
             }
             at.ends.erase(forgotten, at.ends.end());
             answer.ends = at.ends;
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Milliseconds beatInterval{1500};
-constexpr Milliseconds retryPause{100}; ///< of an operator without an answer
-constexpr Milliseconds rebirthDelay{3000}; ///< of a target that a task has crashed
+constexpr Milliseconds heartbeatInterval{1500};
+constexpr Milliseconds retryDelay{100}; ///< before an operator repeats an unanswered request
+constexpr Milliseconds restartDelay{3000}; ///< after a task has crashed its target
 
 Result<Policy> simplePolicy(const std::string &)
 {
     Policy policy;
     QueuePolicy queue;
     queue.service = "s";
-    queue.maxFailures = 50; // failures are not what these runs are about
+    queue.maxFailures = 50; // high, so that random failures don't end workflows
     policy.queues["q"] = queue;
     return policy;
 }
@@ -28,7 +28,7 @@
     , admissions(this->loop)
 {
     this->fleet.targetCrashed = [this](const std::string &name) {
-        this->loop.runAfter(rebirthDelay, [this, name] { this->rebirth(name); });
+        this->loop.runAfter(restartDelay, [this, name] { this->restartCrashed(name); });
     };
     this->changeController(Milliseconds(0));
     this->controller().storeDocument(1, "policy", [](const Result<CommandOutcome> &) {});
@@ -41,12 +41,12 @@
 
 void Simulation::changeController(Milliseconds stale)
 {
-    if (!this->reigns.empty()) {
-        Reign *before = this->reigns.back().get();
+    if (!this->terms.empty()) {
+        ControllerTerm *before = this->terms.back().get();
         before->log.setLeads(false);
         this->loop.runAfter(stale, [before] { before->controller->leadershipChanged(false, 0); });
     }
-    auto reign = std::make_unique<Reign>(this->machine, this->loop, this->storeTime);
+    auto newTerm = std::make_unique<ControllerTerm>(this->machine, this->loop, this->storeTime);
     ControllerOptions options;
     options.readPolicy = simplePolicy;
     options.post = [this](std::function<void()> action) { this->loop.post(std::move(action)); };
@@ -59,10 +59,10 @@
     options.metrics = &this->metrics;
     options.clock = [this] { return this->loop.now(); };
     TargetPort &port = this->portOfController ? this->portOfController() : this->fleet;
-    reign->controller =
-        std::make_unique<Controller>(options, reign->log, this->machine, port, this->admissions);
-    reign->controller->leadershipChanged(true, ++this->term);
-    this->reigns.push_back(std::move(reign));
+    newTerm->controller =
+        std::make_unique<Controller>(options, newTerm->log, this->machine, port, this->admissions);
+    newTerm->controller->leadershipChanged(true, ++this->term);
+    this->terms.push_back(std::move(newTerm));
 }
 
 void Simulation::heartbeat(const std::string &name)
@@ -102,7 +102,7 @@
     this->restart(successor);
 }
 
-void Simulation::rebirth(const std::string &name)
+void Simulation::restartCrashed(const std::string &name)
 {
     if (this->renamesRestarted)
         this->replace(name);
@@ -128,7 +128,7 @@
         failureDomain, isEvacuated,
         [this, failureDomain, isEvacuated](const Result<CommandOutcome> &outcome) {
             if (!outcome)
-                this->loop.runAfter(retryPause, [this, failureDomain, isEvacuated] {
+                this->loop.runAfter(retryDelay, [this, failureDomain, isEvacuated] {
                     this->evacuate(failureDomain, isEvacuated);
                 });
             else if (isEvacuated)
@@ -153,7 +153,7 @@
 void Simulation::runFor(Milliseconds span)
 {
     while (span > Milliseconds(0)) {
-        const Milliseconds part = std::min(span, beatInterval);
+        const Milliseconds part = std::min(span, heartbeatInterval);
         for (const auto &[name, identity] : this->identities) {
             if (this->fleet.isUp(name))
                 this->heartbeat(name);
--- a/test/workflows/simulation.h
+++ b/test/workflows/simulation.h
@@ -32,7 +32,7 @@
     VirtualLoop &loop;
 };
 
-/// A log of one replica that takes a while to tell that a command is stored and applied.
+/// A log of one replica that reports a command as stored and applied only after a delay.
 class SlowLog : public InMemoryLog
 {
 public:
@@ -58,68 +58,69 @@
     Milliseconds storeTime;
 };
 
-/// Controllers, one after the other, over one book and one fleet, on a virtual clock.
+/// A succession of controllers of one store and one fleet, on a virtual clock.
 class Simulation
 {
 public:
     explicit Simulation(std::uint64_t seed, unsigned targets = 4, std::int64_t milliCores = 4000);
     ~Simulation();
 
-    /// Another controller takes over; the one before goes on for \a stale, without its log.
+    /// Another controller takes over. The previous one keeps running for \a stale, but has lost its
+    /// leadership of the log.
     void changeController(Milliseconds stale);
-    /// A target's heartbeat, as it would come every 1.5 s.
+    /// Delivers a target's heartbeat, which is normally sent every 1.5 s.
     void heartbeat(const std::string &name);
     void drain(const std::string &name);
     void restart(const std::string &name);
-    /// The target has another room from now on, as its heartbeats say.
+    /// Changes the target's capacity, which its heartbeats report from now on.
     void resize(const std::string &name, std::int64_t milliCores);
-    /// The target's process is gone, and another one has started at its address under a new name.
+    /// The target's process has ended, and another one starts at its address under a new name.
     void replace(const std::string &name);
-    /// The target has left for good.
+    /// The target leaves permanently.
     void leave(const std::string &name);
 
-    /// Asks for an evacuation until it is acknowledged, or takes it back.
+    /// Requests or withdraws an evacuation, and repeats the request until it is acknowledged.
     void evacuate(const std::string &failureDomain, bool isEvacuated);
-    /// Of the target called "tN": they alternate between "d0" and "d1".
+    /// The failure domain of target "tN": targets alternate between "d0" and "d1".
     static std::string domainOf(const std::string &name);
 
     void submit(WorkflowId id, std::vector<StepSpec> steps);
     void runFor(Milliseconds span);
-    /// False if it was handed in to a controller that had lost its lead.
+    /// False if the workflow was submitted to a controller that had lost its leadership.
     bool isAccepted(WorkflowId id) const;
     WorkflowState stateOf(WorkflowId id) const;
     bool isAllOver() const;
 
     VirtualLoop loop;
-    Milliseconds storeTime{0}; ///< of the next controller's log
-    std::int64_t calendarStepMs = 1; ///< how finely the calendar is read
-    bool renamesRestarted = false; ///< targets that crashed come back under new names
-    /// The port that the next controller sends its orders through; not set: the fleet's own.
+    Milliseconds storeTime{0}; ///< commit delay of the next controller's log
+    std::int64_t calendarStepMs = 1; ///< resolution of the calendar clock
+    bool renamesRestarted = false; ///< crashed targets return under new names
+    /// The port through which the next controller sends its orders; empty: the fleet itself.
     std::function<TargetPort &()> portOfController;
     Metrics metrics;
     SimulatedFleet fleet;
     WorkflowStoreMachine machine;
     std::set<std::string> draining;
 
-    Controller &controller() { return *this->reigns.back()->controller; }
+    Controller &controller() { return *this->terms.back()->controller; }
 
 private:
-    struct Reign
+    struct ControllerTerm
     {
         SlowLog log;
         std::unique_ptr<Controller> controller;
 
-        Reign(WorkflowStoreMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
+        ControllerTerm(WorkflowStoreMachine &machine, VirtualLoop &loop, Milliseconds storeTime)
             : log(machine, loop, storeTime)
         {}
     };
 
-    void rebirth(const std::string &name);
+    void restartCrashed(const std::string &name);
 
     std::map<std::string, TargetIdentity> identities;
     std::int64_t milliCores;
     AdmitAllPort admissions;
-    std::vector<std::unique_ptr<Reign>> reigns;
+    std::vector<std::unique_ptr<ControllerTerm>> terms;
     std::uint64_t term = 0;
     std::uint64_t sequence = 0;
 };
--- a/test/workflows/targethealthtest.cpp
+++ b/test/workflows/targethealthtest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Twenty targets on which runs have ended well, and a clock.
+/// Twenty targets with one successful run each, and a clock.
 class HealthFixture
 {
 public:
@@ -35,11 +35,12 @@
 
 } // namespace
 
-TEST_CASE_METHOD(HealthFixture, "a target that fails different workflows in a row is suspended",
+TEST_CASE_METHOD(HealthFixture,
+                 "a target with consecutive failures of different workflows is suspended",
                  "[health]")
 {
-    // Callers were told that their jobs had failed although nothing was wrong with them: a few
-    // targets failed all that they were given, at once, and so had room for the next try as well.
+    // Guards against sound jobs that fail because of a few bad targets: these failed every run
+    // immediately, and so had room for the next attempt as well.
     this->ends(1, 2, RunOutcome::Failed);
     CHECK(this->trust(1) == TargetTrust::Trusted);
     this->ends(1, 3, RunOutcome::Failed);
@@ -48,8 +49,8 @@
     CHECK(this->trust(targets + 1) == TargetTrust::Trusted);
 }
 
-TEST_CASE_METHOD(HealthFixture,
-                 "a workflow that fails wherever it runs is not held against a target", "[health]")
+TEST_CASE_METHOD(HealthFixture, "a target is not blamed for a workflow that fails wherever it runs",
+                 "[health]")
 {
     for (int run = 0; run < 8; ++run)
         this->ends(1, 2, RunOutcome::Failed);
@@ -59,7 +60,8 @@
     CHECK(this->trust(1) == TargetTrust::Trusted);
 }
 
-TEST_CASE_METHOD(HealthFixture, "ends that say nothing of the target change nothing", "[health]")
+TEST_CASE_METHOD(HealthFixture, "outcomes that are not the target's fault do not affect its trust",
+                 "[health]")
 {
     this->ends(1, 2, RunOutcome::Failed);
     for (const RunOutcome outcome : {RunOutcome::Stopped, RunOutcome::Lapsed, RunOutcome::Broken,
@@ -68,21 +70,22 @@
     CHECK(this->trust(1) == TargetTrust::Trusted);
 }
 
-TEST_CASE_METHOD(HealthFixture, "a target that refuses what it has room for is suspended",
+TEST_CASE_METHOD(HealthFixture, "a target that refuses runs it has room for is suspended",
                  "[health]")
 {
-    // Targets that were not well answered each start with 503. Their room stayed free, so the same
-    // tasks were sent there again and again, and began late.
+    // Guards against late starts: unhealthy targets answered every start with 503, and since their
+    // room stayed free, the same tasks were sent there again and again.
     this->ends(1, 2, RunOutcome::Refused);
     this->ends(1, 3, RunOutcome::Refused);
     CHECK(this->trust(1) == TargetTrust::Suspended);
 }
 
-TEST_CASE_METHOD(HealthFixture, "a suspended target has to prove itself", "[health]")
+TEST_CASE_METHOD(HealthFixture, "a suspended target regains trust by a success on probation",
+                 "[health]")
 {
     this->ends(1, 2, RunOutcome::Failed);
     this->ends(1, 3, RunOutcome::Failed);
-    this->ends(1, 4, RunOutcome::Failed); // was under way, and does not prolong the suspension
+    this->ends(1, 4, RunOutcome::Failed); // started before the suspension, and does not extend it
     this->now += Milliseconds(1100);
     CHECK(this->trust(1) == TargetTrust::Probation);
     CHECK_FALSE(this->health.hasProbationExpired(incarnation(1), this->now));
@@ -98,11 +101,10 @@
     CHECK(this->trust(1) == TargetTrust::Trusted);
 }
 
-TEST_CASE_METHOD(HealthFixture, "where many targets fail, more is needed to suspend one",
-                 "[health]")
+TEST_CASE_METHOD(HealthFixture, "the suspension threshold rises when many targets fail", "[health]")
 {
-    // Many jobs that can never be done came at once: each target fails a part of its runs, and
-    // two in a row say nothing.
+    // Many jobs that can never succeed arrive at once: every target fails some of its runs, so two
+    // consecutive failures prove nothing.
     for (unsigned i = 1; i <= targets / 4; ++i)
         this->ends(i, 2, RunOutcome::Failed);
     this->ends(1, 3, RunOutcome::Failed);
--- a/test/workflows/virtualloop.h
+++ b/test/workflows/virtualloop.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve::workflows {
 
-/// A loop on a clock of its own: time passes only from action to action.
+/// An event loop with a virtual clock: time advances only from action to action.
 class VirtualLoop
 {
 public:
--- a/test/workflows/waittimetrackertest.cpp
+++ b/test/workflows/waittimetrackertest.cpp
@@ -20,29 +20,29 @@
 
 TEST_CASE("a step's waits add up by cause from plan to plan", "[waits]")
 {
-    WaitTimeTracker ledger;
-    ledger.planned({{step, WaitCause::Admission}}, start);
-    ledger.planned({{step, WaitCause::Room}}, start + Milliseconds(400));
-    const WaitTimes times = ledger.times(step, start + Milliseconds(1000));
+    WaitTimeTracker tracker;
+    tracker.planned({{step, WaitCause::Admission}}, start);
+    tracker.planned({{step, WaitCause::Room}}, start + Milliseconds(400));
+    const WaitTimes times = tracker.times(step, start + Milliseconds(1000));
     CHECK(waitedFor(times, WaitCause::Admission) == Milliseconds(400));
     CHECK(waitedFor(times, WaitCause::Room) == Milliseconds(600));
     CHECK(describe(times) == "admission:400,room:600");
-    ledger.planned({}, start + Milliseconds(1000));
-    CHECK(describe(ledger.times(step, start + Milliseconds(2000))) == "admission:400,room:600");
+    tracker.planned({}, start + Milliseconds(1000));
+    CHECK(describe(tracker.times(step, start + Milliseconds(2000))) == "admission:400,room:600");
 }
 
-TEST_CASE("steps that wait no more are forgotten", "[waits]")
+TEST_CASE("steps that have stopped waiting are dropped after a while", "[waits]")
 {
-    WaitTimeTracker ledger;
-    ledger.planned({{step, WaitCause::Room}}, start);
-    ledger.planned({}, start + Milliseconds(100));
-    ledger.dropOld(start + Milliseconds(1000));
-    CHECK(describe(ledger.times(step, start + Milliseconds(1000))) == "room:100");
-    ledger.dropOld(start + Milliseconds(60000));
-    CHECK(describe(ledger.times(step, start + Milliseconds(60000))).empty());
+    WaitTimeTracker tracker;
+    tracker.planned({{step, WaitCause::Room}}, start);
+    tracker.planned({}, start + Milliseconds(100));
+    tracker.dropOld(start + Milliseconds(1000));
+    CHECK(describe(tracker.times(step, start + Milliseconds(1000))) == "room:100");
+    tracker.dropOld(start + Milliseconds(60000));
+    CHECK(describe(tracker.times(step, start + Milliseconds(60000))).empty());
 }
 
-TEST_CASE("a plan tells why it leaves a step waiting", "[waits]")
+TEST_CASE("a plan states why a step is left waiting", "[waits]")
 {
     PlanFixture f(1);
     f.accept({StoreFixture::step(5)});
@@ -52,12 +52,12 @@
     CHECK(f.plan().waiting.front().cause == WaitCause::Limit);
 }
 
-TEST_CASE("a plan tells a question under way from one that nobody could put", "[waits]")
+TEST_CASE("a plan distinguishes a pending query from one that no instance could send", "[waits]")
 {
     PlanFixture f(1);
-    f.needAdvice();
+    f.needAdmission();
     f.accept({StoreFixture::step(1)});
-    CHECK(f.plan().waiting.front().cause == WaitCause::Admission); // it is asked now
+    CHECK(f.plan().waiting.front().cause == WaitCause::Admission); // the query is sent now
     f.admissions[f.at(0)].nextQueryAt = f.now + Milliseconds(100);
     CHECK(f.plan().waiting.front().cause == WaitCause::Querier);
     f.admit(1, Milliseconds(1000));
