--- a/src/workflows/admissionquerybalancer.cpp
+++ b/src/workflows/admissionquerybalancer.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-/// Queries are short up to this: those about steps that finish within a second take 10 to 25 ms.
+/// Queries expected to take at most this long are short: those about steps that finish within a
+/// second take 10 to 25 ms.
 constexpr Milliseconds shortQuery{40};
-/// Queries above this are long: those about single tasks take up to 150 ms, those about gangs 500
-/// ms and more.
+/// Queries expected to take longer than this are long: those about single tasks take up to 150 ms,
+/// those about gangs 500 ms and more.
 constexpr Milliseconds longQuery{200};
-/// One in this many instances takes short queries only. All short queries together occupy one to
-/// two instances, both of 14 and of 43.
+/// The number of instances, divided by this, is reserved for short queries. All short queries
+/// together occupy one to two instances, in deployments of 14 as well as of 43 instances.
 constexpr std::size_t shortOnlyDivisor = 6;
-/// One in this many instances takes no long queries.
+/// The number of instances, divided by this, is closed to long queries.
 constexpr std::size_t noLongDivisor = 3;
 /// An instance whose query failed gets no further ones for this long.
 constexpr Milliseconds failureBackoff{2000};
-/// Pending queries of one instance, below the 32 that the service queues.
+/// Maximum number of pending queries per instance, below the 32 that the service queues.
 constexpr std::size_t maxPending = 20;
-/// Pending queries of an instance that has not answered any.
+/// Maximum number of pending queries of an instance that has not answered any yet.
 constexpr std::size_t maxPendingUnanswered = 2;
 /// An answer is overdue this long after its expected time: a slow instance adds 50 ms.
 constexpr Milliseconds overdueAfter{100};
--- a/src/workflows/admissionquerybalancer.h
+++ b/src/workflows/admissionquerybalancer.h
@@ -28,7 +28,8 @@
     /// When all pending queries of \a instance are expected to be answered.
     Instant busyUntil(const InstanceId &instance) const;
 
-    /// Counts \a instance as responsive without an answer from it: it is this one.
+    /// Treats \a instance as responsive although it has not answered yet. Used for the local
+    /// instance.
     void trust(const InstanceId &instance) { this->loads[instance].hasAnswered = true; }
 
     /// A query of \a instance has been answered or has failed.
--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -94,7 +94,7 @@
                {"capacityMilliCores", std::to_string(summary.capacityMilliCores)},
                {"idleMilliCores", std::to_string(summary.idleMilliCores)},
                {"claimedMilliCores", std::to_string(summary.claimedMilliCores)},
-               {"savedMilliCores", std::to_string(summary.savedMilliCores)},
+               {"savedMilliCores", std::to_string(summary.reservedMilliCores)},
                {"questions", std::to_string(queries)},
                {"live", std::to_string(live)}});
 }
--- a/src/workflows/decisionlog.h
+++ b/src/workflows/decisionlog.h
@@ -36,7 +36,8 @@
 void logWorkflowEnded(const Workflow &workflow, std::int64_t atMs);
 /// All placed tasks of the workflow are being stopped.
 void logStoppingRuns(WorkflowId id, std::string_view why, std::size_t tasks);
-/// The target has become usable for new work, or unusable, according to \a standing.
+/// The target has become usable for new work, or unusable. \a standing: the conditions that decided
+/// it.
 void logTargetUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing);
 /// The state of the latest plan; written at most once a second.
 void logPlan(const PlanSummary &summary, std::size_t queries, std::size_t live);
@@ -46,11 +47,11 @@
 void logRunsEnded(IncarnationId incarnation, const std::vector<RunEnd> &ends);
 /// A run is stopped so that it can be restarted elsewhere, because its target has stalled.
 void logRunMoved(IncarnationId incarnation, const TaskAddress &task);
-/// Writes nothing if the trust has not changed.
+/// The target's trust has changed; writes nothing if \a before equals \a now.
 void logTargetTrust(IncarnationId incarnation, TargetTrust before, TargetTrust now);
 void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted);
 void logAdmissionFailed(const StepAddress &step, const Error &error);
-/// An instance that forwards orders to \a targets targets has not answered; their orders are sent
+/// An instance that carries orders for \a targets targets has not answered; their orders are sent
 /// another way.
 void logAgentUnresponsive(const std::string &agent, std::size_t targets, const Error &error);
 void logTargetStarted(const TargetIdentity &target);
--- a/src/workflows/internal/admissionqueryplanner.cpp
+++ b/src/workflows/internal/admissionqueryplanner.cpp
@@ -20,7 +20,8 @@
 /// A gang sends no more queries once the targets that admit it could hold this many times its tasks
 /// if they were empty: it then waits for room on these.
 constexpr std::size_t sufficientCapacity = 5;
-/// While fewer than one in this many instances has a pending query, gangs query about all targets.
+/// While fewer queries are pending than the number of instances, divided by this, gangs query about
+/// all targets.
 constexpr std::size_t idleDivisor = 2;
 /// Tickets that would expire this soon after the answer are renewed for a gang that is next in
 /// line.
--- a/src/workflows/internal/planroom.cpp
+++ b/src/workflows/internal/planroom.cpp
@@ -63,7 +63,7 @@
     this->addRoom(step, claim->second.tasks, sign);
 }
 
-/// In milli-cores.
+/// Size of the step's claim in milli-cores; 0 if it has expired.
 std::int64_t PlanRoom::claimOf(const ReadyStep &step) const
 {
     const auto claim = this->input.claims.find(step.address);
@@ -100,7 +100,7 @@
     this->addRoom(step, claim, -1);
 }
 
-void PlanRoom::take(const ReadyStep &step, OpenTarget &target)
+void PlanRoom::allocate(const ReadyStep &step, OpenTarget &target)
 {
     target.free -= step.spec().reserved();
     ++target.occupants;
@@ -109,7 +109,7 @@
     this->accounts[step.workflow->spec.account] += step.spec().need;
 }
 
-void PlanRoom::giveBack(const ReadyStep &step, OpenTarget &target)
+void PlanRoom::release(const ReadyStep &step, OpenTarget &target)
 {
     target.free += step.spec().reserved();
     --target.occupants;
--- a/src/workflows/internal/planroom.h
+++ b/src/workflows/internal/planroom.h
@@ -26,14 +26,17 @@
     void reserveClaims(std::uint32_t priority);
     /// Sum of the claims that reserveClaims() has reserved so far.
     std::int64_t claimedMilliCores() const { return this->claimed; }
-    /// Makes the room that a step claims available to it, and reserves it again.
+    /// Makes the room that a step claims available to it.
     void releaseClaim(const ReadyStep &step);
+    /// Reserves the room again that a step claims.
     void restoreClaim(const ReadyStep &step);
     /// Reserves room for a step against the steps that come later in this plan.
     void reserveRoom(const ReadyStep &step, const std::map<IncarnationId, std::uint16_t> &claim);
 
-    void take(const ReadyStep &step, OpenTarget &target);
-    void giveBack(const ReadyStep &step, OpenTarget &target);
+    /// Takes the room for one task of the step from the target and from the client account.
+    void allocate(const ReadyStep &step, OpenTarget &target);
+    /// Undoes an allocation.
+    void release(const ReadyStep &step, OpenTarget &target);
 
     /// True if \a more further tasks of the step would exceed the limit of its client account.
     bool isOverLimit(const ReadyStep &step, std::size_t more) const;
--- a/src/workflows/internal/readystep.h
+++ b/src/workflows/internal/readystep.h
@@ -15,7 +15,7 @@
     StepAddress address;
     const Workflow *workflow = nullptr;
     const QueuePolicy *queue = nullptr;
-    std::int64_t objectiveMs = 0; ///< calendar time by which the workflow should be done
+    std::int64_t objectiveAtMs = 0; ///< calendar time by which the workflow should be done
     /// The step would miss its objective even if it were started now. Such steps come after all
     /// others of their priority.
     ///
--- a/src/workflows/objective.h
+++ b/src/workflows/objective.h
@@ -16,7 +16,7 @@
 /// critical path.
 std::int64_t objectiveOf(const QueuePolicy &queue, std::int64_t criticalPathMs);
 
-/// As above.
+/// The same, for the critical path of \a spec.
 std::int64_t objectiveOf(const QueuePolicy &queue, const WorkflowSpec &spec);
 
 } // namespace guavavalve::workflows
--- a/src/workflows/planner.cpp
+++ b/src/workflows/planner.cpp
@@ -20,14 +20,15 @@
 
 namespace {
 
-/// One part in this many of all targets' processor capacity may be reserved for waiting gangs, and
+/// The processor capacity of all targets, divided by this, may be reserved for waiting gangs, and
 /// stays idle until enough tasks have ended. That is room for two to four gangs of six tasks in
 /// cells of 48 targets, and for about ten gangs of twenty in cells of 350.
 constexpr std::int64_t gangReserveDivisor = 6;
-/// The first gangs in order, which together need one part in this many of all targets' processor
-/// capacity, have their tickets kept valid.
+/// Tickets are kept valid for the first gangs in order that together need about the processor
+/// capacity of all targets, divided by this.
 constexpr std::int64_t nextGangsDivisor = 3;
-/// Instances required for each of these gangs, which keeps one of them busy nearly all the time.
+/// Instances required for each such gang: keeping its tickets valid occupies one instance nearly
+/// all the time.
 constexpr std::size_t instancesPerGang = 4;
 
 bool hasWaiting(const StepSpec &spec, const StepProgress &progress)
@@ -46,7 +47,7 @@
         , queries(planInput, this->room)
     {
         for (const OpenTarget &target : this->room.targets()) {
-            this->allMilliCores += target.identity->capacity[ResourceKind::MilliCores];
+            this->totalMilliCores += target.identity->capacity[ResourceKind::MilliCores];
             this->plan.summary.idleMilliCores +=
                 std::max<std::int64_t>(0, target.free[ResourceKind::MilliCores]);
         }
@@ -56,17 +57,17 @@
     {
         std::vector<ReadyStep> steps = this->readySteps();
         std::sort(steps.begin(), steps.end(), [](const ReadyStep &a, const ReadyStep &b) {
-            return std::tie(a.queue->priority, a.isLate, a.objectiveMs, a.address)
-                < std::tie(b.queue->priority, b.isLate, b.objectiveMs, b.address);
+            return std::tie(a.queue->priority, a.isLate, a.objectiveAtMs, a.address)
+                < std::tie(b.queue->priority, b.isLate, b.objectiveAtMs, b.address);
         });
         for (const ReadyStep &step : steps)
             this->place(step);
         this->plan.summary.openTargets = this->room.targets().size();
         for (const OpenTarget &target : this->room.targets())
             this->plan.summary.free += target.free;
-        this->plan.summary.capacityMilliCores = this->allMilliCores;
+        this->plan.summary.capacityMilliCores = this->totalMilliCores;
         this->plan.summary.claimedMilliCores = this->room.claimedMilliCores();
-        this->plan.summary.savedMilliCores = this->savedMilliCores;
+        this->plan.summary.reservedMilliCores = this->reservedMilliCores;
         return std::move(this->plan);
     }
 
@@ -84,7 +85,7 @@
         return steps;
     }
 
-    /// A cheap check first: most active workflows have no ready step left to place.
+    /// Cheap pre-check: most active workflows have no ready step left to place.
     static bool hasReadyStep(const Workflow &workflow)
     {
         for (std::uint32_t k = 0; k < workflow.occurrences.size(); ++k) {
@@ -115,13 +116,13 @@
             const std::int64_t dueMs = workflow.spec.dueAtMs(k);
             if (dueMs > this->input.calendarMs)
                 break;
-            const std::int64_t objectiveMs = dueMs + allowedMs;
+            const std::int64_t objectiveAtMs = dueMs + allowedMs;
             for (std::size_t i = 0; i < workflow.spec.steps.size(); ++i) {
                 const StepAddress address{workflow.spec.id, k, static_cast<std::uint16_t>(i)};
                 const StepProgress &progress = workflow.step(address);
                 if (hasWaiting(workflow.spec.steps[i], progress) && workflow.isReady(address))
-                    steps.push_back({address, &workflow, &queue, objectiveMs,
-                                     this->input.calendarMs + criticalPaths[i] > objectiveMs,
+                    steps.push_back({address, &workflow, &queue, objectiveAtMs,
+                                     this->input.calendarMs + criticalPaths[i] > objectiveAtMs,
                                      this->admissionsOf(address)});
             }
         }
@@ -141,7 +142,7 @@
             {step.address, static_cast<std::uint16_t>(index)});
     }
 
-    /// Excludes targets that get a task which may crash them from the rest of this plan.
+    /// Excludes targets from the rest of this plan once they get a task that may crash them.
     void isolateSuspects(const ReadyStep &step, const std::vector<Placement> &placements)
     {
         for (const Placement &placement : placements) {
@@ -199,7 +200,7 @@
         const std::size_t limit =
             std::max<std::size_t>(1, this->input.querierCount / instancesPerGang);
         if (this->nextGangs >= limit
-            || this->nextGangsMilliCores * nextGangsDivisor >= this->allMilliCores)
+            || this->nextGangsMilliCores * nextGangsDivisor >= this->totalMilliCores)
             return false;
         ++this->nextGangs;
         this->nextGangsMilliCores += gangMilliCores(step);
@@ -246,7 +247,7 @@
         const auto claim = this->input.claims.find(step.address);
         const bool isClaimed =
             claim != this->input.claims.end() && claim->second.until > this->input.now;
-        if (isClaimed || this->savedMilliCores * gangReserveDivisor >= this->allMilliCores)
+        if (isClaimed || this->reservedMilliCores * gangReserveDivisor >= this->totalMilliCores)
             return;
         std::vector<std::pair<std::int64_t, IncarnationId>> byRoom;
         std::size_t totalSlots = 0; // tasks that all these targets could hold if they were empty
@@ -259,7 +260,7 @@
         }
         if (totalSlots < step.progress().tasks.size())
             return;
-        this->savedMilliCores += gangMilliCores(step);
+        this->reservedMilliCores += gangMilliCores(step);
         std::sort(byRoom.begin(), byRoom.end());
         this->room.reserveRoom(step, this->firstSlots(step, byRoom));
     }
@@ -307,7 +308,7 @@
             isComplete = target != nullptr;
             if (!isComplete)
                 break;
-            this->room.take(step, *target);
+            this->room.allocate(step, *target);
             ++countByTarget[target->incarnation];
             ++this->placedOfStep;
             PlaceRuns &command = commands[progress.tasks[i].run + 1];
@@ -347,10 +348,10 @@
             OpenTarget *target = this->bestTarget(step, i, countByTarget, rack);
             if (target == nullptr) {
                 for (OpenTarget *one : taken)
-                    this->room.giveBack(step, *one);
+                    this->room.release(step, *one);
                 return false;
             }
-            this->room.take(step, *target);
+            this->room.allocate(step, *target);
             taken.push_back(target);
             ++countByTarget[target->incarnation];
             command.run = std::max(command.run, progress.tasks[i].run + 1);
@@ -429,8 +430,8 @@
     std::vector<OpenTarget *> candidates; ///< targets that admit the step being placed
     std::set<IncarnationId> isolated; ///< targets given a task that may crash them
     std::size_t placedOfStep = 0; ///< tasks of the step being placed, unless it is a gang
-    std::int64_t allMilliCores = 0; ///< of all open targets
-    std::int64_t savedMilliCores = 0; ///< reserved for waiting gangs
+    std::int64_t totalMilliCores = 0; ///< of all open targets
+    std::int64_t reservedMilliCores = 0; ///< for waiting gangs
     std::int64_t nextGangsMilliCores = 0; ///< needed by gangs whose tickets are kept valid
     std::size_t nextGangs = 0;
     Plan plan;
--- a/src/workflows/planner.h
+++ b/src/workflows/planner.h
@@ -41,7 +41,7 @@
     std::int64_t capacityMilliCores = 0; ///< of open targets
     std::int64_t idleMilliCores = 0; ///< of these, not booked by placed tasks
     std::int64_t claimedMilliCores = 0; ///< reserved for steps with pending queries
-    std::int64_t savedMilliCores = 0; ///< reserved for waiting gangs
+    std::int64_t reservedMilliCores = 0; ///< for waiting gangs
     Resources free; ///< on open targets, after the plan's placements
 };
 
--- a/src/workflows/progressmonitor.cpp
+++ b/src/workflows/progressmonitor.cpp
@@ -10,7 +10,7 @@
 /// Interval over which a run's current rate is measured: a run that resumes from a checkpoint makes
 /// no progress for up to 0.6 s, and progress is listed in whole percent.
 constexpr Milliseconds longSpan{800};
-/// Interval over which its best rate is measured, short enough for a run of one second.
+/// Interval over which a run's best rate is measured, short enough for a run of one second.
 constexpr Milliseconds shortSpan{300};
 /// Longer tasks are not monitored: with an estimate three times too low, they may advance by less
 /// than one percent in a long span.
@@ -20,8 +20,8 @@
 constexpr double slowRateFraction = 0.35;
 /// Slow runs needed to judge a target. A single stuck run is enough.
 constexpr std::ptrdiff_t minSlowRuns = 2;
-/// Expected rest of a stall. By the users' figures targets stall for 3 to 7 s, one second of which
-/// has passed when the stall is detected.
+/// Expected remaining duration of a stall when it is detected. In the users' deployments targets
+/// stall for 3 to 7 s, one second of which has passed by then.
 constexpr double remainingStallMs = 4000.0;
 /// A run is moved only if it would finish this many times sooner elsewhere, since both times are
 /// rough estimates.
--- a/src/workflows/progressmonitor.h
+++ b/src/workflows/progressmonitor.h
@@ -27,8 +27,8 @@
 /// are stuck. Pure.
 ///
 /// A run advances evenly on a healthy target, so its progress is compared with its own earlier
-/// progress. Callers' estimates are no yardstick: by the users' figures they are off by a factor of
-/// two and more.
+/// progress. Callers' estimates are not used: by the users' workload figures they are off by a
+/// factor of two and more.
 class ProgressMonitor
 {
 public:
--- a/src/workflows/targethealth.cpp
+++ b/src/workflows/targethealth.cpp
@@ -12,9 +12,10 @@
 /// and three where many workflows can never succeed.
 constexpr double maxChance = 1.0 / 30.0;
 /// Fraction of tasks that fail through their own fault, assumed until more has been observed.
-/// Source: both users' figures.
+/// Source: workload figures of both users' deployments.
 constexpr double defaultFailureRate = 0.05;
-/// Upper bound of the rate: above it, targets and workflows at fault could not be distinguished.
+/// Upper bound of the rate: above it, failing targets could not be told from failing
+/// workflows.
 constexpr double maxFailureRate = 0.5;
 /// Fewer consecutive failures never count against a target.
 constexpr unsigned minFailures = 2;
@@ -32,7 +33,7 @@
 {
     std::size_t failing = 0;
     for (const auto &[incarnation, record] : this->records)
-        failing += record.failuresInARow > 0 ? 1 : 0;
+        failing += record.consecutiveFailures > 0 ? 1 : 0;
     const double observed = this->records.empty()
         ? 0.0
         : static_cast<double>(failing) / static_cast<double>(this->records.size());
@@ -51,13 +52,13 @@
     if (outcome != RunOutcome::Failed && outcome != RunOutcome::Refused)
         return;
     Record &record = this->records[incarnation];
-    if (record.failuresInARow > 0 && record.lastFailed == workflow)
+    if (record.consecutiveFailures > 0 && record.lastFailed == workflow)
         return;
-    ++record.failuresInARow;
+    ++record.consecutiveFailures;
     record.lastFailed = workflow;
     const bool failsAgain = record.suspensions > 0 && now >= record.suspendedUntil;
     if (!failsAgain
-        && (record.suspensions > 0 || record.failuresInARow < this->suspensionThreshold()))
+        && (record.suspensions > 0 || record.consecutiveFailures < this->suspensionThreshold()))
         return;
     TargetHealth::suspend(record, now);
 }
--- a/src/workflows/targethealth.h
+++ b/src/workflows/targethealth.h
@@ -53,7 +53,7 @@
 private:
     struct Record
     {
-        unsigned failuresInARow = 0; ///< consecutive, of different workflows
+        unsigned consecutiveFailures = 0; ///< of different workflows
         WorkflowId lastFailed{}; ///< workflow of the latest failure
         Instant suspendedUntil{};
         unsigned suspensions = 0; ///< since the last success
--- a/src/workflows/workflowmetrics.h
+++ b/src/workflows/workflowmetrics.h
@@ -29,7 +29,7 @@
     void runsOver(const std::vector<RunEnd> &ends) const;
     /// A target's process ended while it had work.
     void targetCrashed() const;
-    /// A batch of commands was committed; \a took: from its proposal to its outcomes.
+    /// A batch of commands was committed; \a took: time from its proposal to its outcomes.
     void stored(Milliseconds took) const;
     /// A query to the admission service was answered or failed.
     void admissionAnswered(Milliseconds took, bool isAnswered) const;
--- a/test/workflows/admissionqueryplannertest.cpp
+++ b/test/workflows/admissionqueryplannertest.cpp
@@ -144,7 +144,8 @@
         CHECK(this->admissions[at(0)].admitted.count(target) == 1);
 }
 
-// Guards against queries that are sized by a figure measured in another deployment.
+// Guards against queries that are sized by an admission rate measured elsewhere instead of the
+// observed one.
 TEST_CASE_METHOD(LargeCell, "a gang names fewer targets if more of them were admitted before",
                  "[questions]")
 {
--- a/test/workflows/evacuationtest.cpp
+++ b/test/workflows/evacuationtest.cpp
@@ -193,7 +193,8 @@
     CHECK(this->fleet.starts == 0);
 }
 
-TEST_CASE_METHOD(EvacuationFixture, "a queue is shut out while all its domains are evacuated",
+TEST_CASE_METHOD(EvacuationFixture,
+                 "a queue counts as fully evacuated while all its domains are evacuated",
                  "[evacuation]")
 {
     CHECK_FALSE(this->controller().isFullyEvacuated("q"));
--- a/test/workflows/largefleettest.cpp
+++ b/test/workflows/largefleettest.cpp
@@ -109,8 +109,8 @@
     CHECK(simulation.isAllOver());
 }
 
-// Guards against a new controller that is fully occupied by the first requests to its targets.
-TEST_CASE("a new controller spreads the first requests to its targets over time", "[large]")
+// Guards against a new controller that is fully occupied by the first polls of its targets.
+TEST_CASE("a new controller spreads the first polls of its targets over time", "[large]")
 {
     spdlog::set_level(spdlog::level::off);
     Simulation simulation(1, largeFleet);
--- a/test/workflows/plannertest.cpp
+++ b/test/workflows/plannertest.cpp
@@ -21,7 +21,7 @@
     CHECK(this->applyPlan() == 13);
 }
 
-TEST_CASE_METHOD(PlanFixture, "a gang waits until all members of its last run are over",
+TEST_CASE_METHOD(PlanFixture, "a gang waits until all members of its last run have ended",
                  "[planner]")
 {
     this->accept({gang(2)});
--- a/test/workflows/simulatedagents.h
+++ b/test/workflows/simulatedagents.h
@@ -12,8 +12,8 @@
 
 namespace guavavalve::workflows {
 
-/// Instances that forward a controller's orders, on a virtual clock. They can be killed, or frozen
-/// with pending orders that they forward when they resume.
+/// Instances that carry a controller's orders to targets, on a virtual clock. They can be killed,
+/// or frozen with pending orders that they carry when they resume.
 class SimulatedAgents
 {
 public:
@@ -25,7 +25,7 @@
 
     void kill(unsigned agent);
     void freeze(unsigned agent);
-    /// Restarts a killed agent, or resumes a frozen one, which then forwards its pending orders.
+    /// Restarts a killed agent, or resumes a frozen one, which then carries its pending orders.
     void wake(unsigned agent);
 
     std::size_t carried = 0; ///< number of orders that agents have accepted
--- a/test/workflows/simulatedfleet.cpp
+++ b/test/workflows/simulatedfleet.cpp
@@ -71,9 +71,9 @@
 {
     Target &target = this->targets.at(name);
     std::int64_t &room = target.identity.capacity[ResourceKind::MilliCores];
-    const bool isBound = this->loop.now() > target.shrinkBindsAt;
+    const bool isBound = this->loop.now() > target.shrinkEnforcedAt;
     target.previousCapacity = isBound ? room : std::max(room, target.previousCapacity);
-    target.shrinkBindsAt = this->loop.now() + shrinkGrace;
+    target.shrinkEnforcedAt = this->loop.now() + shrinkGrace;
     room = milliCores;
 }
 
@@ -85,7 +85,7 @@
     target.running.clear();
     for (const auto &[task, run] : running) {
         ++this->crashedUnder[task];
-        this->breakGang(task, run.run);
+        this->endGang(task, run.run);
     }
 }
 
@@ -115,7 +115,7 @@
     if (++this->furtherStarts[order.task] == furtherStartLimit)
         this->report("task " + std::to_string(order.task.index) + " of "
                      + workflowName(order.task.step.workflow)
-                     + " is started again and again although it crashes its targets");
+                     + " is restarted too often although it crashes its targets");
 }
 
 void SimulatedFleet::crashSoon(const std::string &name, const TaskAddress &task,
@@ -232,10 +232,10 @@
     if (outcome == RunOutcome::Succeeded)
         this->ended.insert(task);
     else
-        this->breakGang(task, run);
+        this->endGang(task, run);
 }
 
-void SimulatedFleet::breakGang(const TaskAddress &task, RunNumber run)
+void SimulatedFleet::endGang(const TaskAddress &task, RunNumber run)
 {
     if (!this->specOf(task).gang)
         return;
@@ -271,7 +271,7 @@
     const std::int64_t used =
         this->usedOf(target) + this->specOf(order.task).need[ResourceKind::MilliCores];
     std::int64_t room = target.identity.capacity[ResourceKind::MilliCores];
-    if (this->loop.now() < target.shrinkBindsAt)
+    if (this->loop.now() < target.shrinkEnforcedAt)
         room = std::max(room, target.previousCapacity);
     if (used > room)
         this->report(name + " exceeds the capacity of " + target.identity.name);
@@ -289,7 +289,7 @@
     this->evacuatedAt.emplace(failureDomain, this->loop.now());
 }
 
-void SimulatedFleet::opened(const std::string &failureDomain)
+void SimulatedFleet::reopened(const std::string &failureDomain)
 {
     this->evacuatedAt.erase(failureDomain);
 }
@@ -390,7 +390,7 @@
             const auto &running = this->targets.at(name).running;
             const auto found = running.find(task);
             if (found == running.end() || found->second.serial != serial)
-                return; // the gang was broken
+                return; // another member has already ended the gang's run
         }
         for (const auto &[name, task, serial] : members)
             this->endRun(this->targets.at(name), task, RunOutcome::Succeeded);
--- a/test/workflows/simulatedfleet.h
+++ b/test/workflows/simulatedfleet.h
@@ -51,7 +51,7 @@
 
     /// The controller has acknowledged the evacuation of \a failureDomain, or its end.
     void evacuated(const std::string &failureDomain);
-    void opened(const std::string &failureDomain);
+    void reopened(const std::string &failureDomain);
     /// Number of starts in a domain after its evacuation, including orders that were delayed on
     /// their way.
     std::size_t startsInEvacuated = 0;
@@ -73,7 +73,7 @@
     std::function<void(const std::string &name)> targetCrashed; ///< called after such a crash
     std::string violation; ///< the first one; empty: none
     std::size_t starts = 0;
-    std::size_t holds = 0; ///< number of hold requests sent
+    std::size_t holds = 0; ///< number of hold orders sent, which poll the targets
     std::size_t failures = 0;
 
 private:
@@ -91,8 +91,8 @@
         bool isUp = true;
         bool isCut = false;
         bool isCutOneWay = false;
-        std::int64_t previousCapacity = 0; ///< still granted to starts until shrinkBindsAt
-        Instant shrinkBindsAt{};
+        std::int64_t previousCapacity = 0; ///< still granted to starts until shrinkEnforcedAt
+        Instant shrinkEnforcedAt{};
         Instant startedAt{};
         std::uint64_t fence = 0;
         std::int64_t leaseUntilMs = 0;
@@ -114,7 +114,7 @@
     void renew(Target &target, std::int64_t leaseUntilMs);
     void expireLease(Target &target);
     void endRun(Target &target, const TaskAddress &task, RunOutcome outcome);
-    void breakGang(const TaskAddress &task, RunNumber run);
+    void endGang(const TaskAddress &task, RunNumber run);
     std::optional<int> percentOf(const Target &target, const Running &run) const;
     void finish(const std::string &name, const TaskAddress &task, std::uint64_t serial);
     void finishGang(const TaskAddress &member, RunNumber run);
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -39,12 +39,12 @@
 
 Simulation::~Simulation() = default;
 
-void Simulation::changeController(Milliseconds stale)
+void Simulation::changeController(Milliseconds overlap)
 {
     if (!this->terms.empty()) {
         ControllerTerm *before = this->terms.back().get();
         before->log.setLeads(false);
-        this->loop.runAfter(stale, [before] { before->controller->leadershipChanged(false, 0); });
+        this->loop.runAfter(overlap, [before] { before->controller->leadershipChanged(false, 0); });
     }
     auto newTerm = std::make_unique<ControllerTerm>(this->machine, this->loop, this->storeTime);
     ControllerOptions options;
@@ -134,7 +134,7 @@
             else if (isEvacuated)
                 this->fleet.evacuated(failureDomain);
             else
-                this->fleet.opened(failureDomain);
+                this->fleet.reopened(failureDomain);
         });
 }
 
--- a/test/workflows/simulation.h
+++ b/test/workflows/simulation.h
@@ -65,9 +65,9 @@
     explicit Simulation(std::uint64_t seed, unsigned targets = 4, std::int64_t milliCores = 4000);
     ~Simulation();
 
-    /// Another controller takes over. The previous one keeps running for \a stale, but has lost its
-    /// leadership of the log.
-    void changeController(Milliseconds stale);
+    /// Another controller takes over. The previous one keeps running for \a overlap, but has lost
+    /// its leadership of the log.
+    void changeController(Milliseconds overlap);
     /// Delivers a target's heartbeat, which is normally sent every 1.5 s.
     void heartbeat(const std::string &name);
     void drain(const std::string &name);
--- a/test/workflows/targethealthtest.cpp
+++ b/test/workflows/targethealthtest.cpp
@@ -39,7 +39,7 @@
                  "a target with consecutive failures of different workflows is suspended",
                  "[health]")
 {
-    // Guards against sound jobs that fail because of a few bad targets: these failed every run
+    // Guards against healthy jobs that fail because of a few bad targets: these failed every run
     // immediately, and so had room for the next attempt as well.
     this->ends(1, 2, RunOutcome::Failed);
     CHECK(this->trust(1) == TargetTrust::Trusted);
