--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -94,7 +94,7 @@
                {"capacityMilliCores", std::to_string(summary.capacityMilliCores)},
                {"idleMilliCores", std::to_string(summary.idleMilliCores)},
                {"claimedMilliCores", std::to_string(summary.claimedMilliCores)},
-               {"savedMilliCores", std::to_string(summary.savedMilliCores)},
+               {"savedMilliCores", std::to_string(summary.reservedMilliCores)},
                {"questions", std::to_string(queries)},
                {"live", std::to_string(live)}});
 }
@@ -176,13 +176,13 @@
         counts += (counts.empty() ? "" : ",") + taskName(task) + "=" + std::to_string(count.crashes)
             + "/" + std::to_string(count.earlyCrashes);
     }
-    std::string hopeless;
+    std::string givenUpTasks;
     for (const TaskAddress &task : givenUp)
-        hopeless += (hopeless.empty() ? "" : ",") + taskName(task);
+        givenUpTasks += (givenUpTasks.empty() ? "" : ",") + taskName(task);
     logChange(LogLevel::Warning, "target-crashed",
               {{"life", std::to_string(idValue(incarnation))},
                {"crashes", counts},
-               {"givenUp", hopeless}});
+               {"givenUp", givenUpTasks}});
 }
 
 void logTargetAlive(IncarnationId incarnation)
