--- a/src/state/clusterstate.cpp
+++ b/src/state/clusterstate.cpp
@@ -9,7 +9,7 @@
 
 ClusterState::ClusterState(std::uint8_t shard)
     : shardNumber(shard)
-    , next(static_cast<TaskId>((std::uint64_t{shard} << internal::shardShift) + 1))
+    , nextTaskId(static_cast<TaskId>((std::uint64_t{shard} << internal::shardShift) + 1))
 {}
 
 std::vector<CommandOutcome> ClusterState::apply(const CommandBatch &batch)
@@ -22,7 +22,8 @@
         else
             outcomes.emplace_back(failure(ErrorCode::InvalidArgument,
                                           "the batch is for shard " + std::to_string(batch.shard)
-                                              + ", this is " + std::to_string(this->shardNumber)));
+                                              + ", but this is shard "
+                                              + std::to_string(this->shardNumber)));
     }
     return outcomes;
 }
@@ -90,8 +91,8 @@
 const JobRecord *ClusterState::jobByIdempotencyKey(TeamId team,
                                                    const std::string &idempotencyKey) const
 {
-    const auto found = this->jobsByKey.find({team, idempotencyKey});
-    return found == this->jobsByKey.end() ? nullptr : this->job(found->second);
+    const auto found = this->jobsByIdempotencyKey.find({team, idempotencyKey});
+    return found == this->jobsByIdempotencyKey.end() ? nullptr : this->job(found->second);
 }
 
 Resources ClusterState::limitOf(TeamId team) const
--- a/src/state/clusterstate.h
+++ b/src/state/clusterstate.h
@@ -17,24 +17,26 @@
 
 namespace guavavalve {
 
-/// The replicated state of one shard. Pure: no I/O, no clock, no chance; the same commands in
-/// the same order give the same state, and the same snapshot byte for byte.
+/// The replicated state machine of one shard. Deterministic: it uses no I/O, clock or random
+/// numbers, so the same commands in the same order yield the same state and a byte-identical
+/// snapshot.
 ///
-/// Each command is checked again when it is applied, so what a deposed controller decided on old
-/// knowledge is rejected and cannot break an invariant. A rejected command changes nothing.
+/// Every command is validated again when it is applied, so a decision that a deposed controller
+/// made on stale state is rejected and cannot break an invariant. A rejected command has no effect
+/// beyond its recorded outcome.
 class ClusterState
 {
 public:
-    /// The state of replica group \a shard, empty.
+    /// Constructs the empty state of replica group \a shard.
     explicit ClusterState(std::uint8_t shard = 0);
 
-    /// Applies the commands of \a batch in order; one outcome each.
+    /// Applies the commands of \a batch in order and returns one outcome per command.
     std::vector<CommandOutcome> apply(const CommandBatch &batch);
     CommandOutcome apply(const Command &command);
 
     std::uint8_t shard() const { return this->shardNumber; }
-    /// The identity that the next job must take. Its top 8 bits are the shard.
-    TaskId nextTask() const { return this->next; }
+    /// The lowest ID that the next job may use. Its top 8 bits are the shard.
+    TaskId nextTask() const { return this->nextTaskId; }
 
     const Configuration &configuration() const { return this->document; }
     const std::map<JobId, JobRecord> &jobs() const { return this->jobTable; }
@@ -43,7 +45,7 @@
     /// Failure domains whose targets receive no new work.
     const std::set<std::string> &evacuatedDomains() const { return this->evacuated; }
 
-    /// Each of these gives null if there is no such record.
+    /// Each of these returns null if there is no such record.
     const JobRecord *job(JobId id) const;
     const JobRecord *jobOf(TaskId task) const;
     const TaskRecord *task(TaskId id) const;
@@ -51,23 +53,23 @@
     const TargetRecord *targetNamed(const std::string &name) const;
     const TeamRecord *team(TeamId id) const;
     const TeamRecord *teamNamed(const std::string &name) const;
-    /// The job that \a team has accepted under \a idempotencyKey.
+    /// The job that was accepted from \a team under \a idempotencyKey.
     const JobRecord *jobByIdempotencyKey(TeamId team, const std::string &idempotencyKey) const;
 
-    /// The most that \a team may have running: its configured limit.
+    /// The configured upper limit on the resources that \a team's running tasks hold.
     Resources limitOf(TeamId team) const;
 
-    /// The state as bytes, versioned and checksummed.
+    /// Serialises the state, with a format version and a checksum.
     std::string snapshot() const;
 
-    /// Counts everything anew from the tasks and compares: room used, what teams run and have
-    /// waiting, what is placed where.
-    /// \errors Corrupt, naming the first count that differs. Cost: once through all records.
-    Result<void> recount() const;
+    /// Recomputes the derived totals from the tasks and compares them with the stored ones:
+    /// resources in use, running and waiting tasks per team, and tasks per target.
+    /// \errors Corrupt, naming the first total that differs. Cost: one pass over all records.
+    Result<void> verifyCounts() const;
 
-    /// Replaces the state by that of \a bytes.
-    /// \errors Corrupt if they are not a whole snapshot of this shard and format; the state is
-    /// then left as it was.
+    /// Replaces the state with the one in \a bytes.
+    /// \errors Corrupt if they are not a complete snapshot of this shard in a supported format;
+    /// the state is then unchanged.
     Result<void> restore(const std::string &bytes);
 
 private:
@@ -88,51 +90,55 @@
     CommandOutcome applyOne(const ForgetJobs &command);
     CommandOutcome applyOne(const RefuseJob &command);
 
-    /// Room that earlier places of the same gang have taken in thought.
-    struct Taken
+    /// Resources needed by the placements of a gang that have been checked but not yet applied.
+    struct PendingResources
     {
         std::map<TargetId, Resources> onTargets;
         Resources byTeam;
     };
 
     template<typename OperatorCommand, typename Change>
-    CommandOutcome once(const OperatorCommand &command, const std::string &summary, Change change);
+    CommandOutcome applyOnce(const OperatorCommand &command, const std::string &summary,
+                             Change change);
     Result<void> checkJob(const AcceptJob &command) const;
-    Result<void> checkWaiting(const AcceptJob &command, const TeamRecord &team) const;
-    Result<void> checkPlace(const PlaceTask &place, const JobRecord &job, const Taken &taken) const;
-    Result<void> checkRoom(const PlaceTask &place, const JobRecord &job, const Taken &taken) const;
+    Result<void> checkTeamPolicy(const AcceptJob &command, const TeamRecord &team) const;
+    Result<void> checkPlacement(const PlaceTask &place, const JobRecord &job,
+                                const PendingResources &pending) const;
+    Result<void> checkResources(const PlaceTask &place, const JobRecord &job,
+                                const PendingResources &pending) const;
     Result<void> checkGang(const PlaceGang &command) const;
-    void place(const PlaceTask &place, JobRecord &job);
-    void unplace(JobRecord &job, TaskId id);
+    void applyPlacement(const PlaceTask &place, JobRecord &job);
+    void releasePlacement(JobRecord &job, TaskId id);
     void endAttempt(JobRecord &job, const EndAttempt &end);
-    void takeLateAnswer(JobRecord &job, const EndAttempt &end);
-    void settle(JobRecord &job, TaskId id, AttemptOutcome outcome, std::int64_t at);
-    bool isLostTooOften(const JobRecord &job, TaskId id);
+    void recordLateAnswer(JobRecord &job, const EndAttempt &end);
+    void applyOutcome(JobRecord &job, TaskId id, AttemptOutcome outcome, std::int64_t at);
+    /// Counts a lost attempt; returns whether the task has reached the limit and must fail.
+    bool countLostAttempt(const JobRecord &job, TaskId id);
     void finishTask(JobRecord &job, TaskRecord &task, TaskState state, std::int64_t at);
     void cancelWaiting(JobRecord &job, std::int64_t at);
-    void loseAttempts(TargetRecord &target, const std::string &reason);
+    void endAttemptsAsLost(TargetRecord &target, const std::string &reason);
     JobRecord *findJobOf(TaskId task);
     TargetRecord *findTarget(TargetId id);
-    void indexRecords();
+    void rebuildIndexes();
 
     template<typename Archive>
     void serializeRecords(Archive &archive, std::uint16_t format);
 
     std::uint8_t shardNumber;
-    TaskId next;
-    TargetId nextTarget{1};
+    TaskId nextTaskId;
+    TargetId nextTargetId{1};
     Configuration document;
     RequestLog requests;
     std::map<JobId, JobRecord> jobTable;
     std::map<TargetId, TargetRecord> targetTable;
     std::map<TeamId, TeamRecord> teamTable;
     std::set<std::string> evacuated; ///< failure domains
-    /// Of tasks of unfinished jobs: attempts that were lost with their targets.
+    /// Attempts lost with their targets, per task of an unfinished job.
     std::map<TaskId, std::uint16_t> lostAttempts;
-    // Found again from the tables by indexRecords().
+    // Indexes, not part of a snapshot; rebuildIndexes() derives them from the tables.
     std::map<std::string, TargetId> targetsByName;
     std::map<std::string, TeamId> teamsByName;
-    std::map<std::pair<TeamId, std::string>, JobId> jobsByKey;
+    std::map<std::pair<TeamId, std::string>, JobId> jobsByIdempotencyKey;
 };
 
 } // namespace guavavalve
--- a/src/state/command.h
+++ b/src/state/command.h
@@ -21,8 +21,8 @@
 
 namespace guavavalve {
 
-/// One change of the replicated state. The order of the alternatives is part of the format of
-/// the log: new ones go to the end.
+/// A change to the replicated state. The log stores the index of the alternative, so new
+/// alternatives go at the end.
 using Command =
     std::variant<GrantKey, WithdrawKey, WriteSection, RegisterTarget, LapseTarget, RetireTarget,
                  SetTargetDraining, AcceptJob, PlaceTask, PlaceGang, EndAttempt, ReassignDispatcher,
--- a/src/state/commandoutcome.h
+++ b/src/state/commandoutcome.h
@@ -12,11 +12,11 @@
 
 namespace guavavalve {
 
-/// What an accepted AcceptJob gives.
+/// The result of an accepted AcceptJob.
 struct JobAccepted
 {
     JobId job = JobId::None;
-    bool joined = false; ///< the same request had been accepted before
+    bool joined = false; ///< a resend: \a job was accepted earlier for the same request
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -25,7 +25,7 @@
     }
 };
 
-/// What an accepted RegisterTarget gives.
+/// The result of an accepted RegisterTarget.
 struct TargetRegistered
 {
     TargetId target = TargetId::None;
@@ -37,11 +37,11 @@
     }
 };
 
-/// What an accepted WriteSection, GrantKey or WithdrawKey gives.
+/// The result of an accepted WriteSection, GrantKey or WithdrawKey.
 struct ConfigurationChanged
 {
-    std::uint64_t documentVersion = 0; ///< in force where this version is held
-    std::uint64_t sectionVersion = 0; ///< of a written section, otherwise 0
+    std::uint64_t documentVersion = 0; ///< the change is in force wherever this version is held
+    std::uint64_t sectionVersion = 0; ///< of the written section; 0 for a key
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -50,7 +50,7 @@
     }
 };
 
-/// What an accepted EndAttempt gives: where it leaves its task.
+/// The result of an accepted EndAttempt: the resulting state of the task.
 struct AttemptRecorded
 {
     TaskState state = TaskState::Waiting;
@@ -66,13 +66,13 @@
 using CommandValue =
     std::variant<Nothing, JobAccepted, TargetRegistered, ConfigurationChanged, AttemptRecorded>;
 
-/// What became of one command: accepted with what it gives, or rejected and without effect.
+/// The outcome of a command: the value of an accepted one, or the error of a rejected one.
 using CommandOutcome = Result<CommandValue>;
 
-/// The bytes that StateMachine::apply() returns for a batch.
+/// Encodes the outcomes of a batch, as StateMachine::apply() returns them.
 std::string encodeOutcomes(const std::vector<CommandOutcome> &outcomes);
 
-/// \errors Corrupt if the bytes are not a whole list of outcomes.
+/// \errors Corrupt if \a bytes are not a complete list of outcomes.
 Result<std::vector<CommandOutcome>> decodeOutcomes(const std::string &bytes);
 
 } // namespace guavavalve
--- a/src/state/commands/acceptjob.h
+++ b/src/state/commands/acceptjob.h
@@ -9,20 +9,23 @@
 
 namespace guavavalve {
 
-/// Takes on a job for a team. Cell times are milliseconds of the proposer's clock and serve
-/// retention, deadlines and reports; no rule of safety compares them.
+/// Accepts a job for a team. A resend with the same idempotency key and digest returns the job that
+/// was accepted first, with JobAccepted::joined set. The proposer sets \a first to
+/// ClusterState::nextTask(), plus the tasks of its jobs that are not committed yet. Cell times are
+/// milliseconds of the proposer's clock, used for retention, deadlines and reports; correctness
+/// does not depend on them.
 /// \errors Unauthenticated if the key is unknown, withdrawn or another team's; Conflict if the
-/// idempotency key stands for another digest, or \a first is below the shard's next identity
-/// (gaps are harmless); LimitExceeded. The same digest again gives the first job with joined set.
+/// idempotency key was used with another digest, or \a first is not an unused ID of the shard (gaps
+/// are allowed); InvalidArgument; PermissionDenied if the class is disabled; LimitExceeded.
 struct AcceptJob
 {
-    JobId first = JobId::None; ///< ClusterState::nextTask(), counting what is pending
+    JobId first = JobId::None; ///< ID of the job and of its first task
     std::string keyId;
     TeamId team = TeamId::None;
     std::string idempotencyKey;
-    std::string digest;
+    std::string digest; ///< of the request's content
     WorkClass workClass = WorkClass::Prompt;
-    Resources need; ///< of each task
+    Resources need; ///< per task
     std::uint32_t tasks = 1;
     bool repeatable = true;
     std::int64_t declaredRunTimeMs = 0; ///< 0: not declared
@@ -30,7 +33,7 @@
     std::int64_t startBy = 0; ///< cell time in ms; 0: no deadline
     std::int64_t finishBy = 0; ///< cell time in ms; 0: no deadline
     std::string payload;
-    InstanceId entry; ///< who asked
+    InstanceId entry; ///< the entry, the front-end instance that received the request
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/commands/canceljob.h
+++ b/src/state/commands/canceljob.h
@@ -6,13 +6,13 @@
 
 namespace guavavalve {
 
-/// Cancels a job: waiting tasks at once, placed ones when their attempt is known to be over.
-/// A resend, or a job that has finished, changes nothing.
-/// \errors NotFound, also if the job is not of \a team.
+/// Cancels a job: waiting tasks immediately, placed ones once their attempt is known to have ended.
+/// Has no effect on a job that is already cancelled or finished.
+/// \errors NotFound if there is no such job or it belongs to another team.
 struct CancelJob
 {
     JobId job = JobId::None;
-    TeamId team = TeamId::None; ///< None: an operator asks
+    TeamId team = TeamId::None; ///< None: requested by an operator
     std::int64_t cancelledAt = 0; ///< cell time in ms, for retention only
 
     template<typename Archive>
--- a/src/state/commands/endattempt.h
+++ b/src/state/commands/endattempt.h
@@ -8,8 +8,9 @@
 
 namespace guavavalve {
 
-/// Records the known end of an attempt, and so frees its place. A resend is harmless.
-/// \errors NotFound; Conflict if \a attempt is not the current one or has ended otherwise.
+/// Records that an attempt has ended and releases the resources it held. A resend has no effect.
+/// \errors NotFound; Conflict if \a attempt is not the current one or has ended with another
+/// outcome.
 struct EndAttempt
 {
     TaskId task = TaskId::None;
@@ -17,7 +18,7 @@
     AttemptOutcome outcome = AttemptOutcome::Failed;
     std::uint64_t answerLength = 0; ///< bytes
     std::string answerDigest;
-    std::string message; ///< of a failure, for a person to read
+    std::string message; ///< why the attempt failed, human-readable
     std::int64_t endedAt = 0; ///< cell time in ms, for retention only
 
     template<typename Archive>
--- a/src/state/commands/forgetjobs.h
+++ b/src/state/commands/forgetjobs.h
@@ -6,8 +6,7 @@
 
 namespace guavavalve {
 
-/// Forgets finished jobs and their idempotency keys; jobs that are unknown or have not finished
-/// are left alone.
+/// Removes finished jobs and their idempotency keys. Unknown and unfinished jobs are skipped.
 struct ForgetJobs
 {
     std::vector<JobId> jobs;
--- a/src/state/commands/grantkey.h
+++ b/src/state/commands/grantkey.h
@@ -6,16 +6,17 @@
 
 namespace guavavalve {
 
-/// Grants a key. Only a keyed hash of its secret is ever replicated.
-/// \errors Conflict if the key identity was ever used; NotFound if the team is not configured.
+/// Grants an API key. Only a keyed hash of its secret is replicated, never the secret itself.
+/// \errors Conflict if the key ID is in use or withdrawn; NotFound if the team is not configured;
+/// InvalidArgument; LimitExceeded.
 struct GrantKey
 {
-    std::string requestId; ///< a resend returns the first result
+    std::string requestId; ///< a resend with the same ID returns the first result
     std::string keyId;
-    std::string team; ///< empty for an operator who belongs to none
+    std::string team; ///< empty for an operator without a team
     KeyRole role = KeyRole::Team;
     std::string keyedHash; ///< see hashSecret()
-    std::string label; ///< for a person to read
+    std::string label; ///< human-readable
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/commands/lapsetarget.h
+++ b/src/state/commands/lapsetarget.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve {
 
-/// The target's lease is over: its attempts are known to be over, with outcome Lost.
+/// Records that the lease of a target has lapsed. Its attempts end with outcome Lost.
 /// \errors NotFound; Conflict if \a incarnation is not the current one.
 struct LapseTarget
 {
--- a/src/state/commands/placegang.h
+++ b/src/state/commands/placegang.h
@@ -6,8 +6,9 @@
 
 namespace guavavalve {
 
-/// Places several tasks of one job, all or none.
-/// \errors those of PlaceTask, for the first place that cannot be had.
+/// Places all waiting tasks of a gang atomically.
+/// \errors those of PlaceTask, for the first task that cannot be placed; InvalidArgument if a task
+/// is named twice or belongs to another job; Conflict if not all waiting tasks are named.
 struct PlaceGang
 {
     std::vector<PlaceTask> places;
--- a/src/state/commands/reassigndispatcher.h
+++ b/src/state/commands/reassigndispatcher.h
@@ -4,13 +4,14 @@
 
 namespace guavavalve {
 
-/// Makes another entry follow a placed attempt. It asks about the attempt and never starts it.
-/// \errors NotFound; Conflict if the attempt is not the current one or is over.
+/// Hands a placed attempt over to another entry instance. The new dispatcher only queries the
+/// attempt; it never starts it.
+/// \errors NotFound; Conflict if the attempt is not the current one or has ended.
 struct ReassignDispatcher
 {
     TaskId task = TaskId::None;
     AttemptNumber attempt = 0;
-    InstanceId entry;
+    InstanceId entry; ///< the new dispatcher
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/commands/refusejob.h
+++ b/src/state/commands/refusejob.h
@@ -8,15 +8,15 @@
 
 namespace guavavalve {
 
-/// Gives up on the waiting tasks of an accepted job, such as one that can no longer start by its
-/// deadline. They have not run; what is placed goes on.
-/// \errors NotFound; Conflict if no task of the job waits.
+/// Refuses the waiting tasks of an accepted job, for example because it can no longer start by its
+/// deadline. These tasks end as cancelled without another attempt; placed ones continue.
+/// \errors NotFound; Conflict if the job has no waiting task.
 struct RefuseJob
 {
     JobId job = JobId::None;
     ErrorCode code = ErrorCode::DeadlineExceeded;
-    std::string message; ///< for the caller to read
-    std::int64_t retryAfterMs = 0; ///< when it is worth coming back; 0: no use
+    std::string message; ///< human-readable, for the caller
+    std::int64_t retryAfterMs = 0; ///< when a retry may succeed; 0: a retry is pointless
     std::int64_t refusedAt = 0; ///< cell time in ms, for retention only
 
     template<typename Archive>
--- a/src/state/commands/registertarget.h
+++ b/src/state/commands/registertarget.h
@@ -7,14 +7,14 @@
 
 namespace guavavalve {
 
-/// Registers a target or changes what it says of itself. A new incarnation means that every
-/// attempt under the old one is over.
-/// \errors Conflict if \a incarnation is older than the known one, or has lapsed: the target
-/// takes a new incarnation when its lease has run out, so that a start sent under the old
-/// lease finds no one who would obey it.
+/// Registers a target or updates its registration. A higher incarnation ends all attempts of the
+/// previous one as lost.
+/// \errors Conflict if \a incarnation is lower than the known one, or its lease has lapsed: a
+/// target must take a higher incarnation after its lease has expired, so that it rejects a delayed
+/// start request that was sent under the old lease. InvalidArgument; LimitExceeded.
 struct RegisterTarget
 {
-    std::string name; ///< identity, kept over restarts
+    std::string name; ///< unique and stable across restarts
     Incarnation incarnation = 0;
     std::string address; ///< "ip:port" of its HTTP listener
     std::string failureDomain;
--- a/src/state/commands/retiretarget.h
+++ b/src/state/commands/retiretarget.h
@@ -4,8 +4,9 @@
 
 namespace guavavalve {
 
-/// Forgets a target that holds nothing and has lapsed or is departing.
-/// \errors NotFound; Conflict while it may hold work.
+/// Removes a target that has no tasks and takes no work, because it has lapsed, is departing or
+/// draining, or its failure domain is evacuated.
+/// \errors NotFound; Conflict while it has tasks or takes work.
 struct RetireTarget
 {
     TargetId target = TargetId::None;
--- a/src/state/commands/setdomainevacuated.h
+++ b/src/state/commands/setdomainevacuated.h
@@ -6,9 +6,9 @@
 
 namespace guavavalve {
 
-/// Lets the targets of a failure domain receive no new work, or again: those that are there and
-/// those that come. What runs there is left alone.
-/// \errors NotFound if no target has announced itself from there and it is not evacuated.
+/// Stops or resumes placement on all targets of a failure domain, including targets that register
+/// later. Running tasks are not affected.
+/// \errors NotFound if no target is registered in the domain and it is not evacuated.
 struct SetDomainEvacuated
 {
     std::string failureDomain;
--- a/src/state/commands/settargetdraining.h
+++ b/src/state/commands/settargetdraining.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve {
 
-/// Lets a target receive no new work, or again. What runs there is left alone.
+/// Stops or resumes placement on a target. Running tasks are not affected.
 /// \errors NotFound.
 struct SetTargetDraining
 {
--- a/src/state/commands/withdrawkey.h
+++ b/src/state/commands/withdrawkey.h
@@ -4,11 +4,11 @@
 
 namespace guavavalve {
 
-/// Withdraws a key, for good.
-/// \errors NotFound if there is no such key.
+/// Withdraws an API key permanently.
+/// \errors NotFound if there is no such key; Conflict if it is the last operator key in use.
 struct WithdrawKey
 {
-    std::string requestId; ///< a resend returns the first result
+    std::string requestId; ///< a resend with the same ID returns the first result
     std::string keyId;
 
     template<typename Archive>
--- a/src/state/commands/writesection.h
+++ b/src/state/commands/writesection.h
@@ -5,15 +5,17 @@
 
 namespace guavavalve {
 
-/// Replaces one section of the configuration document, if it still has \a baseVersion.
-/// \errors Conflict, naming who wrote which version since; PermissionDenied; InvalidArgument
-/// listing every problem of the whole document as it would become.
+/// Replaces a section of the configuration document if its version is still \a baseVersion.
+/// \errors Conflict, naming the current version, the key that wrote it and the changes since;
+/// NotFound if there is no such section and \a baseVersion is not 0; Unauthenticated;
+/// PermissionDenied; LimitExceeded; InvalidArgument, listing every problem of the resulting
+/// document.
 struct WriteSection
 {
-    std::string requestId; ///< a resend returns the first result
+    std::string requestId; ///< a resend with the same ID returns the first result
     std::string section; ///< "cell" or "team.NAME"
-    std::uint64_t baseVersion = 0; ///< the version that this one replaces; 0: none yet
-    std::string author; ///< identity of the key that writes
+    std::uint64_t baseVersion = 0; ///< the version to replace; 0: the section does not exist yet
+    std::string author; ///< ID of the key that the write was made with
     std::string content; ///< JSON text
     std::int64_t writtenAt = 0; ///< proposer's cell time in ms, for the history only
 
--- a/src/state/configuration.cpp
+++ b/src/state/configuration.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr std::size_t longestLabel = 1024;
+constexpr std::size_t maxLabelBytes = 1024;
 
-/// Drops the oldest versions until the history is within its bounds; the one in force stays.
+/// Drops the oldest versions until the history is within its bounds. Always keeps the version in
+/// force.
 void trimHistory(std::vector<SectionVersion> &history)
 {
     std::size_t bytes = 0;
@@ -37,33 +38,36 @@
     return nullptr;
 }
 
-/// Tells the loser of a race who won, and with what.
-std::string raceText(const Section &section, std::uint64_t baseVersion)
+/// The message for a write over an outdated version: who wrote the current one, and what changed.
+std::string conflictText(const Section &section, std::uint64_t baseVersion)
 {
     const SectionVersion &current = section.current();
     std::string text = "section " + quoted(section.name) + " is at version "
         + std::to_string(current.version) + ", written with key " + quoted(current.author)
-        + ", and not at " + std::to_string(baseVersion) + "; read it again and write over that";
+        + ", not at " + std::to_string(baseVersion)
+        + "; read it again and base the write on that version";
     if (const SectionVersion *base = findVersion(section, baseVersion))
-        text += ". What changed since: " + changesText(base->content, current.content);
+        text += ". Changes since version " + std::to_string(baseVersion) + ": "
+            + changesText(base->content, current.content);
     return text;
 }
 
-std::int64_t wholeLeaseMs(const CellSection &cell)
+std::int64_t leaseWithMarginMs(const CellSection &cell)
 {
     return cell.targetLeaseMs + cell.driftMarginMs;
 }
 
-Result<void> checkGrantTexts(const GrantKey &command)
+Result<void> checkGrant(const GrantKey &command)
 {
     if (!isName(command.keyId))
         return failure(ErrorCode::InvalidArgument,
-                       "a key's identity is a name of letters, digits, "
-                       "'-', '_' and '.', at most 64 long");
-    if (command.keyedHash.empty() || command.keyedHash.size() > longestId)
-        return failure(ErrorCode::InvalidArgument, "a key needs the keyed hash of its secret");
-    if (command.label.size() > longestLabel)
-        return failure(ErrorCode::InvalidArgument, "a key's label is at most 1024 bytes long");
+                       "a key ID consists of 1 to 64 letters, digits, "
+                       "'-', '_' and '.'");
+    if (command.keyedHash.empty() || command.keyedHash.size() > maxIdBytes)
+        return failure(ErrorCode::InvalidArgument,
+                       "a key needs a keyed hash of its secret, of at most 256 bytes");
+    if (command.label.size() > maxLabelBytes)
+        return failure(ErrorCode::InvalidArgument, "a key's label may have at most 1024 bytes");
     return boost::outcome_v2::success();
 }
 
@@ -99,7 +103,7 @@
         return boost::outcome_v2::success();
     if (author->team.empty() || teamOfSection(command.section) != author->team)
         return failure(ErrorCode::PermissionDenied,
-                       "key " + internal::quoted(command.author) + " may write only the section "
+                       "key " + internal::quoted(command.author) + " may write only section "
                            + internal::quoted(teamSectionPrefix + author->team));
     const Section *section = this->section(command.section);
     const std::string before = section == nullptr ? "{}" : section->current().content;
@@ -112,36 +116,39 @@
         if (reserved)
             return failure(ErrorCode::PermissionDenied,
                            change.path + " of section " + internal::quoted(command.section)
-                               + " is changed only with an operator's key");
+                               + " can be changed only with an operator key");
     }
     return boost::outcome_v2::success();
 }
 
-Result<void> Configuration::checkBase(const WriteSection &command) const
+Result<void> Configuration::checkBaseVersion(const WriteSection &command) const
 {
     const Section *section = this->section(command.section);
     if (section == nullptr) {
         if (command.baseVersion != 0)
             return failure(ErrorCode::NotFound,
                            "there is no section " + internal::quoted(command.section)
-                               + " yet; write it over version 0");
-        if (command.section != cellSection && teamOfSection(command.section).empty())
+                               + "; create it with base version 0");
+        if (command.section != cellSectionName && teamOfSection(command.section).empty())
             return failure(ErrorCode::InvalidArgument,
-                           "a section is called \"cell\" or \"team.NAME\", not "
+                           "a section name must be \"cell\" or \"team.NAME\", not "
                                + internal::quoted(command.section));
         if (this->sectionTable.size() >= maxSections)
-            return failure(ErrorCode::LimitExceeded, "the document has as many sections as it may");
+            return failure(ErrorCode::LimitExceeded,
+                           "the document has the maximum of " + std::to_string(maxSections)
+                               + " sections");
         return boost::outcome_v2::success();
     }
     if (section->current().version != command.baseVersion)
-        return failure(ErrorCode::Conflict, internal::raceText(*section, command.baseVersion));
+        return failure(ErrorCode::Conflict, internal::conflictText(*section, command.baseVersion));
     return boost::outcome_v2::success();
 }
 
-DocumentReading Configuration::readWith(const WriteSection &command) const
+ParsedDocument Configuration::readAfterWrite(const WriteSection &command) const
 {
-    // A team's section is checked against a cell's that stays, so the others need no new reading.
-    if (command.section != cellSection)
+    // A team's section is validated only against the section "cell", which does not change here, so
+    // the other teams' sections need not be parsed again.
+    if (command.section != cellSectionName)
         return readTeamChanges(this->policies, {{command.section, command.content}});
     SectionTexts texts;
     for (const auto &[name, section] : this->sectionTable)
@@ -154,21 +161,21 @@
 {
     if (auto checked = this->checkAuthor(command); checked.has_error())
         return checked.error();
-    if (auto checked = this->checkBase(command); checked.has_error())
+    if (auto checked = this->checkBaseVersion(command); checked.has_error())
         return checked.error();
-    DocumentReading reading = this->readWith(command);
-    if (!reading.problems.empty())
+    ParsedDocument parsed = this->readAfterWrite(command);
+    if (!parsed.problems.empty())
         return failure(ErrorCode::InvalidArgument,
-                       problemsText("the document as it would become", reading.problems));
-    if (command.section == cellSection)
-        this->keepLease();
-    this->policies = std::move(reading.policies);
+                       problemsText("the resulting document", parsed.problems));
+    if (command.section == cellSectionName)
+        this->recordPreviousLease();
+    this->policies = std::move(parsed.policies);
 
     Section &section = this->sectionTable[command.section];
     const std::string team = teamOfSection(command.section);
     section.name = command.section;
     section.owner = team.empty() ? "operators" : team;
-    section.changedAt = ++this->documentVersion;
+    section.changedInVersion = ++this->documentVersion;
     SectionVersion version;
     version.version = command.baseVersion + 1;
     version.author = command.author;
@@ -183,16 +190,16 @@
     return changed;
 }
 
-void Configuration::keepLease()
+void Configuration::recordPreviousLease()
 {
-    this->earlierLeases.push_back(internal::wholeLeaseMs(this->cell()));
+    this->earlierLeases.push_back(internal::leaseWithMarginMs(this->cell()));
     if (this->earlierLeases.size() > maxEarlierLeases)
         this->earlierLeases.erase(this->earlierLeases.begin());
 }
 
 std::int64_t Configuration::longestTargetLeaseMs() const
 {
-    std::int64_t longest = internal::wholeLeaseMs(this->cell());
+    std::int64_t longest = internal::leaseWithMarginMs(this->cell());
     for (const std::int64_t lease : this->earlierLeases)
         longest = std::max(longest, lease);
     return longest;
@@ -208,10 +215,10 @@
     preview.changes = sectionChanges(before, command.content);
     if (auto checked = this->checkAuthor(command); checked.has_error())
         preview.problems.push_back(checked.error().message);
-    if (auto checked = this->checkBase(command); checked.has_error())
+    if (auto checked = this->checkBaseVersion(command); checked.has_error())
         preview.problems.push_back(checked.error().message);
     if (preview.problems.empty()) {
-        for (const Problem &problem : this->readWith(command).problems)
+        for (const Problem &problem : this->readAfterWrite(command).problems)
             preview.problems.push_back(problem.text());
     }
     return preview;
@@ -219,19 +226,20 @@
 
 Result<ConfigurationChanged> Configuration::grant(const GrantKey &command)
 {
-    if (auto checked = internal::checkGrantTexts(command); checked.has_error())
+    if (auto checked = internal::checkGrant(command); checked.has_error())
         return checked.error();
     if (const KeyRecord *known = this->key(command.keyId))
         return failure(ErrorCode::Conflict,
-                       "key " + internal::quoted(command.keyId) + " was granted before, to team "
-                           + internal::quoted(known->team) + "; choose another identity");
+                       "key " + internal::quoted(command.keyId) + " was already granted, to team "
+                           + internal::quoted(known->team) + "; choose another key ID");
     const bool needsTeam = command.role == KeyRole::Team || !command.team.empty();
     if (needsTeam && this->team(command.team) == nullptr)
         return failure(ErrorCode::NotFound,
                        "there is no team " + internal::quoted(command.team)
                            + "; write its section first");
     if (this->keyTable.size() - this->withdrawnKeys >= maxKeys)
-        return failure(ErrorCode::LimitExceeded, "there are as many keys as there may be");
+        return failure(ErrorCode::LimitExceeded,
+                       "the maximum of " + std::to_string(maxKeys) + " keys is in use");
 
     KeyRecord &key = this->keyTable[command.keyId];
     key.id = command.keyId;
@@ -239,7 +247,7 @@
     key.role = command.role;
     key.keyedHash = command.keyedHash;
     key.label = command.label;
-    key.changedAt = ++this->documentVersion;
+    key.changedInVersion = ++this->documentVersion;
     ConfigurationChanged changed;
     changed.documentVersion = this->documentVersion;
     return changed;
@@ -253,25 +261,25 @@
     KeyRecord &key = found->second;
     ConfigurationChanged changed;
     if (key.withdrawn) {
-        changed.documentVersion = key.changedAt;
+        changed.documentVersion = key.changedInVersion;
         return changed;
     }
-    // Without any operator's key nobody could ever grant one again.
-    if (key.role == KeyRole::Operator && this->operatorKeys() == 1)
+    // Without an operator key in use, no key could ever be granted again.
+    if (key.role == KeyRole::Operator && this->countOperatorKeys() == 1)
         return failure(ErrorCode::Conflict,
-                       "this is the last operator's key in use; grant another "
-                       "before it is withdrawn");
+                       "this is the last operator key in use; grant another "
+                       "one before withdrawing it");
     key.withdrawn = true;
     key.keyedHash.clear();
-    key.changedAt = ++this->documentVersion;
+    key.changedInVersion = ++this->documentVersion;
     ++this->withdrawnKeys;
     changed.documentVersion = this->documentVersion;
     if (this->withdrawnKeys > maxWithdrawnKeys)
-        this->releaseOldestWithdrawn();
+        this->releaseOldestWithdrawnKey();
     return changed;
 }
 
-std::size_t Configuration::operatorKeys() const
+std::size_t Configuration::countOperatorKeys() const
 {
     return static_cast<std::size_t>(
         std::count_if(this->keyTable.begin(), this->keyTable.end(), [](const auto &row) {
@@ -279,16 +287,17 @@
         }));
 }
 
-void Configuration::releaseOldestWithdrawn()
+void Configuration::releaseOldestWithdrawnKey()
 {
     auto oldest = this->keyTable.end();
     for (auto row = this->keyTable.begin(); row != this->keyTable.end(); ++row) {
         if (!row->second.withdrawn)
             continue;
-        if (oldest == this->keyTable.end() || row->second.changedAt < oldest->second.changedAt)
+        if (oldest == this->keyTable.end()
+            || row->second.changedInVersion < oldest->second.changedInVersion)
             oldest = row;
     }
-    this->keysReleasedAt = std::max(this->keysReleasedAt, oldest->second.changedAt);
+    this->keysReleasedUpTo = std::max(this->keysReleasedUpTo, oldest->second.changedInVersion);
     this->keyTable.erase(oldest);
     --this->withdrawnKeys;
 }
@@ -300,10 +309,10 @@
     changes.toVersion = this->documentVersion;
     if (heldVersion >= this->documentVersion)
         return changes;
-    changes.whole = heldVersion == 0 || heldVersion < this->keysReleasedAt;
-    const std::uint64_t after = changes.whole ? 0 : heldVersion;
+    changes.isFull = heldVersion == 0 || heldVersion < this->keysReleasedUpTo;
+    const std::uint64_t after = changes.isFull ? 0 : heldVersion;
     for (const auto &[name, section] : this->sectionTable) {
-        if (section.changedAt <= after)
+        if (section.changedInVersion <= after)
             continue;
         SectionContent content;
         content.name = name;
@@ -313,24 +322,25 @@
         changes.sections.push_back(std::move(content));
     }
     for (const auto &[id, key] : this->keyTable) {
-        if (key.changedAt > after)
+        if (key.changedInVersion > after)
             changes.keys.push_back(key);
     }
     return changes;
 }
 
-Result<void> Configuration::readPolicies()
+Result<void> Configuration::rebuildPolicies()
 {
     SectionTexts texts;
     for (const auto &[name, section] : this->sectionTable) {
         if (section.history.empty())
-            return failure(ErrorCode::Corrupt, "section " + internal::quoted(name) + " is empty");
+            return failure(ErrorCode::Corrupt,
+                           "section " + internal::quoted(name) + " has no version");
         texts.emplace(name, section.current().content);
     }
-    DocumentReading reading = readDocument(texts);
-    if (!reading.problems.empty())
-        return failure(ErrorCode::Corrupt, problemsText("the stored document", reading.problems));
-    this->policies = std::move(reading.policies);
+    ParsedDocument parsed = readDocument(texts);
+    if (!parsed.problems.empty())
+        return failure(ErrorCode::Corrupt, problemsText("the stored document", parsed.problems));
+    this->policies = std::move(parsed.policies);
     this->withdrawnKeys = static_cast<std::size_t>(
         std::count_if(this->keyTable.begin(), this->keyTable.end(),
                       [](const auto &row) { return row.second.withdrawn; }));
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -18,45 +18,45 @@
 
 namespace guavavalve {
 
-/// The configuration document and the keys. Each accepted change raises the document's version
-/// by one; nothing ever lowers it.
+/// The configuration document and the API keys. Every accepted change increments the document's
+/// version, which never decreases.
 class Configuration
 {
 public:
-    /// Bounds, so that the state stays small whatever is written to it.
+    /// Bounds on the size of the state, whatever is written to it.
     static constexpr std::size_t maxSections = 2000;
     static constexpr std::size_t maxSectionBytes = std::size_t{64} * 1024;
-    static constexpr std::size_t maxHistory = 32; ///< versions a section
-    static constexpr std::size_t maxHistoryBytes = std::size_t{128} * 1024; ///< a section
+    static constexpr std::size_t maxHistory = 32; ///< versions kept per section
+    static constexpr std::size_t maxHistoryBytes = std::size_t{128} * 1024; ///< per section
     static constexpr std::size_t maxEarlierLeases = 64;
     static constexpr std::size_t maxKeys = 20000; ///< in use
-    static constexpr std::size_t maxWithdrawnKeys = 20000; ///< oldest released
+    static constexpr std::size_t maxWithdrawnKeys = 20000; ///< kept; the oldest are released
 
     std::uint64_t version() const { return this->documentVersion; }
     const std::map<std::string, Section> &sections() const { return this->sectionTable; }
     const std::map<std::string, KeyRecord> &keys() const { return this->keyTable; }
 
-    /// Each of these gives null if there is no such record.
+    /// Each of these returns null if there is no such record.
     const Section *section(const std::string &name) const;
     const KeyRecord *key(const std::string &id) const;
     const TeamSection *team(const std::string &name) const;
 
-    /// The cell's policy: what its section says, or the defaults.
+    /// The cell-wide policy; default values if there is no section "cell".
     const CellSection &cell() const { return this->policies.cell; }
 
-    /// The longest lease, margin included, that a controller may have given under this or one of
-    /// the last 64 versions of the cell's section, in ms.
+    /// The longest target lease in ms, drift margin included, that a controller may have granted
+    /// under the current section "cell" or one of the last maxEarlierLeases (64) replaced ones.
     ///
-    /// Guards against a lease that is lowered shortly before the controller dies. Its successor
-    /// knows the new lease only; counting by that it would free tasks of a target that still holds
-    /// the old one, and they would run twice. The state has no clock to tell when the old lease is
-    /// over, so it forgets by count.
+    /// If the lease is lowered shortly before the controller fails, targets may still hold a lease
+    /// of the old length. A successor that waited for the new length only would free their tasks
+    /// too early, and they would run twice. The state has no clock to tell when the old leases have
+    /// expired, so it drops them by count.
     std::int64_t longestTargetLeaseMs() const;
 
     /// \errors see WriteSection.
     Result<ConfigurationChanged> write(const WriteSection &command);
 
-    /// What write() would do, without doing it.
+    /// A dry run of write().
     SectionPreview preview(const WriteSection &command) const;
 
     /// \errors see GrantKey.
@@ -65,37 +65,37 @@
     /// \errors see WithdrawKey.
     Result<ConfigurationChanged> withdraw(const WithdrawKey &command);
 
-    /// What differs for an entry that holds \a heldVersion of the document. An entry that holds
-    /// more than this copy does gets nothing: a lagging replica takes nothing back.
+    /// The changes since \a heldVersion of the document. Empty if \a heldVersion is newer than this
+    /// replica's, so a lagging replica cannot roll an entry instance back.
     ConfigurationChanges changesSince(std::uint64_t heldVersion) const;
 
-    /// Reads the policies anew from the sections, as after a restored snapshot.
-    /// \errors Corrupt if a section does not pass the checks it has once passed.
-    Result<void> readPolicies();
+    /// Parses the policies from the sections, after a snapshot has been restored.
+    /// \errors Corrupt if a section fails the checks that it passed when it was written.
+    Result<void> rebuildPolicies();
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->documentVersion, this->keysReleasedAt, this->sectionTable, this->keyTable,
+        archive(this->documentVersion, this->keysReleasedUpTo, this->sectionTable, this->keyTable,
                 this->earlierLeases);
     }
 
 private:
     Result<void> checkAuthor(const WriteSection &command) const;
-    Result<void> checkBase(const WriteSection &command) const;
-    DocumentReading readWith(const WriteSection &command) const;
-    void keepLease();
-    std::size_t operatorKeys() const;
-    void releaseOldestWithdrawn();
+    Result<void> checkBaseVersion(const WriteSection &command) const;
+    ParsedDocument readAfterWrite(const WriteSection &command) const;
+    void recordPreviousLease();
+    std::size_t countOperatorKeys() const;
+    void releaseOldestWithdrawnKey();
 
     std::uint64_t documentVersion = 0;
-    /// The newest change of a withdrawn key whose record has been released. Who holds an older
-    /// version is sent everything.
-    std::uint64_t keysReleasedAt = 0;
+    /// The version of the newest withdrawal whose key record has been released. A holder of an
+    /// older version is sent the full document, since that withdrawal is no longer in the changes.
+    std::uint64_t keysReleasedUpTo = 0;
     std::map<std::string, Section> sectionTable;
     std::map<std::string, KeyRecord> keyTable;
-    std::vector<std::int64_t> earlierLeases; ///< ms, margin included; oldest first
-    // Found again from the tables by readPolicies().
+    std::vector<std::int64_t> earlierLeases; ///< in ms, drift margin included; oldest first
+    // Not part of a snapshot; rebuildPolicies() derives them from the tables.
     PolicyDocument policies;
     std::size_t withdrawnKeys = 0;
 };
--- a/src/state/configurationchanges.h
+++ b/src/state/configurationchanges.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// The present version of a section, as entries hold it: without history.
+/// The current version of a section without its history, as entry instances hold it.
 struct SectionContent
 {
     std::string name;
@@ -24,26 +24,26 @@
     }
 };
 
-/// What brings a copy of the configuration from one version of the document to another.
+/// The difference between two versions of the configuration.
 struct ConfigurationChanges
 {
     std::uint64_t fromVersion = 0;
     std::uint64_t toVersion = 0;
-    bool whole = false; ///< everything: what is not named here is no more
+    bool isFull = false; ///< the complete configuration; anything not listed no longer exists
     std::vector<SectionContent> sections;
     std::vector<KeyRecord> keys;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->fromVersion, this->toVersion, this->whole, this->sections, this->keys);
+        archive(this->fromVersion, this->toVersion, this->isFull, this->sections, this->keys);
     }
 };
 
-/// The changes as bytes for the wire.
+/// Encodes the changes for the wire.
 std::string encodeChanges(const ConfigurationChanges &changes);
 
-/// \errors Corrupt if the bytes are not whole changes of this format.
+/// \errors Corrupt if \a bytes are not complete changes in this format.
 Result<ConfigurationChanges> decodeChanges(const std::string &bytes);
 
 } // namespace guavavalve
--- a/src/state/configurationview.cpp
+++ b/src/state/configurationview.cpp
@@ -16,14 +16,14 @@
     return found == this->policies.teams.end() ? nullptr : &found->second;
 }
 
-DocumentReading
+ParsedDocument
 ConfigurationView::readChanged(const ConfigurationChanges &changes,
                                const std::map<std::string, SectionContent> &sections) const
 {
     SectionTexts changed;
     for (const SectionContent &section : changes.sections)
         changed.emplace(section.name, section.content);
-    if (!changes.whole && changed.count(cellSection) == 0)
+    if (!changes.isFull && changed.count(cellSectionName) == 0)
         return readTeamChanges(this->policies, changed);
     SectionTexts texts;
     for (const auto &[name, section] : sections)
@@ -35,27 +35,28 @@
 {
     if (changes.toVersion < this->heldVersion)
         return failure(ErrorCode::Conflict,
-                       "the configuration offered is version " + std::to_string(changes.toVersion)
-                           + ", older than " + std::to_string(this->heldVersion)
-                           + " which is held; ask a current replica");
-    if (!changes.whole && changes.fromVersion > this->heldVersion)
+                       "the received configuration has version " + std::to_string(changes.toVersion)
+                           + ", older than the held version " + std::to_string(this->heldVersion)
+                           + "; ask an up-to-date replica");
+    if (!changes.isFull && changes.fromVersion > this->heldVersion)
         return failure(ErrorCode::Conflict,
-                       "the changes begin at version " + std::to_string(changes.fromVersion)
-                           + " but only " + std::to_string(this->heldVersion)
-                           + " is held; ask again with that");
+                       "the received changes start at version "
+                           + std::to_string(changes.fromVersion) + ", newer than the held version "
+                           + std::to_string(this->heldVersion)
+                           + "; request the changes since the held version");
     if (changes.toVersion == this->heldVersion)
         return boost::outcome_v2::success();
 
-    auto sections = changes.whole ? std::map<std::string, SectionContent>() : this->sectionTable;
+    auto sections = changes.isFull ? std::map<std::string, SectionContent>() : this->sectionTable;
     for (const SectionContent &section : changes.sections)
         sections[section.name] = section;
-    DocumentReading reading = this->readChanged(changes, sections);
-    if (!reading.problems.empty())
+    ParsedDocument parsed = this->readChanged(changes, sections);
+    if (!parsed.problems.empty())
         return failure(ErrorCode::Corrupt,
-                       problemsText("the configuration offered", reading.problems));
-    this->policies = std::move(reading.policies);
+                       problemsText("the received configuration", parsed.problems));
+    this->policies = std::move(parsed.policies);
     this->sectionTable = std::move(sections);
-    if (changes.whole)
+    if (changes.isFull)
         this->keyTable.clear();
     for (const KeyRecord &key : changes.keys)
         this->keyTable[key.id] = key;
--- a/src/state/finishedattempt.h
+++ b/src/state/finishedattempt.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// How a task's last finished attempt ended; kept only for tasks that have had one.
+/// How the last finished attempt of a task ended. Exists only for tasks with a finished attempt.
 struct FinishedAttempt
 {
     TaskId task = TaskId::None;
--- a/src/state/jobcommands.cpp
+++ b/src/state/jobcommands.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Result<void> checkShape(const AcceptJob &command, const CellSection &cell)
+Result<void> checkFields(const AcceptJob &command, const CellSection &cell)
 {
     if (command.tasks == 0 || command.tasks > cell.maxTasksPerJob)
         return failure(ErrorCode::InvalidArgument,
@@ -17,20 +17,22 @@
                            + std::to_string(command.tasks));
     if (!command.need.isNonNegative() || !command.need.fitsInto(unlimitedResources()))
         return failure(ErrorCode::InvalidArgument,
-                       "a task's need is not below zero and not beyond 2^53");
+                       "a task's need must be from 0 to 2^53 of each resource");
     if (command.payload.size() > static_cast<std::size_t>(cell.maxPayloadBytes))
         return failure(ErrorCode::InvalidArgument,
-                       "a payload has at most " + std::to_string(cell.maxPayloadBytes)
+                       "a payload may have at most " + std::to_string(cell.maxPayloadBytes)
                            + " bytes, not " + std::to_string(command.payload.size()));
-    if (command.idempotencyKey.empty() || command.idempotencyKey.size() > longestId
-        || command.digest.size() > longestId || command.entry.size() > longestId)
+    if (command.idempotencyKey.empty() || command.idempotencyKey.size() > maxIdBytes
+        || command.digest.size() > maxIdBytes || command.entry.size() > maxIdBytes)
         return failure(ErrorCode::InvalidArgument,
-                       "a job needs an idempotency key of 1 to 256 bytes");
+                       "a job needs an idempotency key of 1 to 256 bytes; its digest and "
+                       "entry name may have at most 256 bytes");
     return boost::outcome_v2::success();
 }
 
-/// The need of what must run at once: all tasks of a gang, one of another job.
-Resources needAtOnce(const AcceptJob &command)
+/// The resources that must be available at the same time: those of all tasks for a gang, of one
+/// task otherwise.
+Resources concurrentNeed(const AcceptJob &command)
 {
     Resources need = command.need;
     if (command.workClass == WorkClass::Gang) {
@@ -40,8 +42,8 @@
     return need;
 }
 
-/// True if a multiple of \a need by \a tasks stays a number.
-bool multiplies(const Resources &need, std::uint32_t tasks)
+/// True if \a need times \a tasks does not exceed the unlimited amount, and so cannot overflow.
+bool multipliesWithinBounds(const Resources &need, std::uint32_t tasks)
 {
     for (const std::int64_t amount : need.amounts) {
         if (amount > unlimitedAmount / static_cast<std::int64_t>(tasks))
@@ -61,13 +63,13 @@
     if (team == nullptr || key == nullptr || key->withdrawn || key->team != team->name)
         return failure(ErrorCode::Unauthenticated,
                        "key " + internal::quoted(command.keyId)
-                           + " is unknown, withdrawn or not this team's");
+                           + " is unknown, withdrawn or belongs to another team");
     if (const JobRecord *first = this->jobByIdempotencyKey(command.team, command.idempotencyKey)) {
         if (first->digest != command.digest)
             return failure(ErrorCode::Conflict,
                            "idempotency key " + internal::quoted(command.idempotencyKey)
-                               + " stands for another request, job "
-                               + internal::numberOf(first->id));
+                               + " was already used for another request, job "
+                               + internal::idText(first->id));
         JobAccepted joined;
         joined.job = first->id;
         joined.joined = true;
@@ -75,7 +77,7 @@
     }
     if (auto checked = this->checkJob(command); checked.has_error())
         return checked.error();
-    if (auto checked = this->checkWaiting(command, *team); checked.has_error())
+    if (auto checked = this->checkTeamPolicy(command, *team); checked.has_error())
         return checked.error();
 
     JobRecord job;
@@ -95,9 +97,9 @@
     job.payload = command.payload;
     job.entry = command.entry;
     job.tasks.resize(command.tasks);
-    this->next = static_cast<TaskId>(idValue(command.first) + command.tasks);
+    this->nextTaskId = static_cast<TaskId>(idValue(command.first) + command.tasks);
     this->teamTable[command.team].waitingTasks += command.tasks;
-    this->jobsByKey[{command.team, command.idempotencyKey}] = command.first;
+    this->jobsByIdempotencyKey[{command.team, command.idempotencyKey}] = command.first;
     this->jobTable.emplace(command.first, std::move(job));
     JobAccepted accepted;
     accepted.job = command.first;
@@ -106,19 +108,19 @@
 
 Result<void> ClusterState::checkJob(const AcceptJob &command) const
 {
-    if (auto checked = internal::checkShape(command, this->document.cell()); checked.has_error())
+    if (auto checked = internal::checkFields(command, this->document.cell()); checked.has_error())
         return checked.error();
     const std::uint64_t first = idValue(command.first);
-    if (first >> internal::shardShift != this->shardNumber || first < idValue(this->next)
+    if (first >> internal::shardShift != this->shardNumber || first < idValue(this->nextTaskId)
         || (first & internal::counterMask) > internal::counterMask - command.tasks)
         return failure(ErrorCode::Conflict,
-                       "identity " + internal::numberOf(command.first)
-                           + " is taken; the next of this shard is "
-                           + internal::numberOf(this->next));
+                       "job ID " + internal::idText(command.first)
+                           + " is not available; the next one of this shard is "
+                           + internal::idText(this->nextTaskId));
     return boost::outcome_v2::success();
 }
 
-Result<void> ClusterState::checkWaiting(const AcceptJob &command, const TeamRecord &team) const
+Result<void> ClusterState::checkTeamPolicy(const AcceptJob &command, const TeamRecord &team) const
 {
     const TeamSection &policy = *this->document.team(team.name);
     const CellSection &cell = this->document.cell();
@@ -128,19 +130,20 @@
         return failure(ErrorCode::PermissionDenied,
                        "team " + internal::quoted(team.name) + " may not submit work of class "
                            + className);
-    if (!internal::multiplies(command.need, command.tasks)
-        || !internal::needAtOnce(command).fitsInto(policy.limit))
+    if (!internal::multipliesWithinBounds(command.need, command.tasks)
+        || !internal::concurrentNeed(command).fitsInto(policy.limit))
         return failure(ErrorCode::LimitExceeded,
-                       "the job needs more at once than the upper limit of team "
+                       "the job needs more resources at once than the upper limit of team "
                            + internal::quoted(team.name));
-    std::int64_t most = cell.maxWaitingTasks;
+    std::int64_t maxWaiting = cell.maxWaitingTasks;
     if (policy.maxWaitingTasks > 0)
-        most = std::min(most, policy.maxWaitingTasks);
-    if (static_cast<std::int64_t>(team.waitingTasks) + command.tasks > most)
+        maxWaiting = std::min(maxWaiting, policy.maxWaitingTasks);
+    if (static_cast<std::int64_t>(team.waitingTasks) + command.tasks > maxWaiting)
         return failure(ErrorCode::LimitExceeded,
                        "team " + internal::quoted(team.name) + " has "
-                           + std::to_string(team.waitingTasks) + " tasks waiting and may have "
-                           + std::to_string(most));
+                           + std::to_string(team.waitingTasks) + " tasks waiting; "
+                           + std::to_string(command.tasks) + " more would exceed its limit of "
+                           + std::to_string(maxWaiting));
     return boost::outcome_v2::success();
 }
 
@@ -149,7 +152,7 @@
     const auto found = this->jobTable.find(command.job);
     if (found == this->jobTable.end()
         || (command.team != TeamId::None && found->second.team != command.team))
-        return failure(ErrorCode::NotFound, "there is no job " + internal::numberOf(command.job));
+        return failure(ErrorCode::NotFound, "there is no job " + internal::idText(command.job));
     JobRecord &job = found->second;
     if (job.cancelled || job.finished())
         return CommandValue(Nothing());
@@ -162,17 +165,17 @@
 {
     const auto found = this->jobTable.find(command.job);
     if (found == this->jobTable.end())
-        return failure(ErrorCode::NotFound, "there is no job " + internal::numberOf(command.job));
+        return failure(ErrorCode::NotFound, "there is no job " + internal::idText(command.job));
     JobRecord &job = found->second;
     const bool waits = std::any_of(job.tasks.begin(), job.tasks.end(), [](const TaskRecord &task) {
         return task.state == TaskState::Waiting;
     });
     if (!waits)
         return failure(ErrorCode::Conflict,
-                       "no task of job " + internal::numberOf(command.job) + " waits");
+                       "job " + internal::idText(command.job) + " has no waiting task");
     job.refused = true;
     job.refusalCode = command.code;
-    job.refusal = command.message.substr(0, internal::longestMessage);
+    job.refusal = command.message.substr(0, internal::maxMessageBytes);
     job.refusalRetryAfterMs = command.retryAfterMs;
     this->cancelWaiting(job, command.refusedAt);
     return CommandValue(Nothing());
@@ -195,7 +198,7 @@
         const auto found = this->jobTable.find(id);
         if (found == this->jobTable.end() || !found->second.finished())
             continue;
-        this->jobsByKey.erase({found->second.team, found->second.idempotencyKey});
+        this->jobsByIdempotencyKey.erase({found->second.team, found->second.idempotencyKey});
         this->jobTable.erase(found);
     }
     return CommandValue(Nothing());
--- a/src/state/jobrecord.h
+++ b/src/state/jobrecord.h
@@ -13,44 +13,44 @@
 
 namespace guavavalve {
 
-/// A job and its tasks. The task at position i has the identity of the job plus i. Cell times
-/// are milliseconds of the proposers' clocks, for retention, deadlines and reports.
+/// A job and its tasks. The ID of the task at position i is the job's ID plus i. Cell times are
+/// milliseconds of the proposers' clocks, used for retention, deadlines and reports.
 struct JobRecord
 {
     JobId id = JobId::None;
     TeamId team = TeamId::None;
     WorkClass workClass = WorkClass::Prompt;
     bool repeatable = true;
-    bool cancelled = false; ///< asked for; tasks end as their attempts are known to be over
-    bool refused = false; ///< its waiting tasks were given up, for the reason below
+    bool cancelled = false; ///< requested; placed tasks end when their attempts are known to end
+    bool refused = false; ///< its waiting tasks were refused, for the reason below
     ErrorCode refusalCode = ErrorCode::DeadlineExceeded;
-    std::string refusal; ///< for the caller to read
-    std::int64_t refusalRetryAfterMs = 0; ///< 0: no use in coming back
+    std::string refusal; ///< human-readable, for the caller
+    std::int64_t refusalRetryAfterMs = 0; ///< 0: a retry is pointless
     std::uint32_t unfinished = 0; ///< tasks that are not in a final state
-    Resources need; ///< of each task
+    Resources need; ///< per task
     std::int64_t declaredRunTimeMs = 0; ///< 0: not declared
     std::int64_t acceptedAt = 0;
     std::int64_t startBy = 0; ///< 0: no deadline
     std::int64_t finishBy = 0; ///< 0: no deadline
     std::int64_t firstPlacedAt = 0; ///< 0: not yet
-    std::int64_t finishedAt = 0; ///< 0: not yet, or not known
+    std::int64_t finishedAt = 0; ///< 0: not finished, or time unknown
     std::string keyId;
     std::string idempotencyKey;
     std::string digest;
     std::string payload; ///< released when the job has finished
-    InstanceId entry;
+    InstanceId entry; ///< the entry instance that received the request
     std::vector<TaskRecord> tasks;
-    std::vector<FinishedAttempt> ends; ///< by task, ascending
+    std::vector<FinishedAttempt> ends; ///< for tasks with a finished attempt; sorted by task
 
     bool finished() const { return this->unfinished == 0; }
     TaskId taskId(std::size_t position) const
     {
         return static_cast<TaskId>(idValue(this->id) + position);
     }
-    /// Position of \a task, which must be one of this job's.
+    /// Position of \a task, which must belong to this job.
     std::size_t position(TaskId task) const { return idValue(task) - idValue(this->id); }
 
-    /// How \a task's last finished attempt ended, or null.
+    /// The last finished attempt of \a task, or null if none has finished.
     const FinishedAttempt *end(TaskId task) const;
 
     template<typename Archive>
--- a/src/state/keyrole.h
+++ b/src/state/keyrole.h
@@ -6,10 +6,10 @@
 
 namespace guavavalve {
 
-/// What a key may do.
+/// The permissions of an API key.
 enum class KeyRole : std::uint8_t {
     Operator, ///< writes every section, grants and withdraws keys
-    Team, ///< submits its team's work and writes its team's section, but for share and limit
+    Team, ///< submits its team's work; writes its team's section except share and limit
 };
 
 inline constexpr EnumNames<KeyRole, 2> keyRoleNames{{
--- a/src/state/keysecret.cpp
+++ b/src/state/keysecret.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::size_t secretBytes = 32;
-constexpr std::size_t longestSecret = 256;
-constexpr std::size_t shortestClusterKey = 16;
+constexpr std::size_t maxSecretBytes = 256;
+constexpr std::size_t minClusterKeyBytes = 16;
 
 std::string hexText(const unsigned char *bytes, std::size_t size)
 {
@@ -24,8 +24,9 @@
     return text;
 }
 
-/// libsodium's set-up may be called again from any thread; without it there is no safe chance.
-void setUpSodium()
+/// Safe to call repeatedly and from any thread. Aborts on failure, since libsodium's random numbers
+/// are not secure without initialisation.
+void initializeSodium()
 {
     if (sodium_init() < 0)
         std::abort();
@@ -44,14 +45,14 @@
         token.secret = text.substr(colon + 1);
     }
     if (!isName(token.keyId) || token.secret.empty()
-        || token.secret.size() > internal::longestSecret)
-        return failure(ErrorCode::Unauthenticated, "a key is shown as KEYID:SECRET");
+        || token.secret.size() > internal::maxSecretBytes)
+        return failure(ErrorCode::Unauthenticated, "a bearer token has the form KEYID:SECRET");
     return token;
 }
 
-std::string makeSecret()
+std::string generateSecret()
 {
-    internal::setUpSodium();
+    internal::initializeSodium();
     std::array<unsigned char, internal::secretBytes> bytes{};
     randombytes_buf(bytes.data(), bytes.size());
     std::string text = internal::hexText(bytes.data(), bytes.size());
@@ -61,11 +62,11 @@
 
 Result<std::string> hashSecret(const KeyToken &token, const std::string &clusterKey)
 {
-    internal::setUpSodium();
-    if (clusterKey.size() < internal::shortestClusterKey)
+    internal::initializeSodium();
+    if (clusterKey.size() < internal::minClusterKeyBytes)
         return failure(ErrorCode::InvalidArgument,
                        "the cluster's secret must have at least 16 bytes");
-    // The cluster's secret may have any length; the hash's own key has a fixed one.
+    // The cluster's secret has no fixed length, but the key of the hash function has.
     std::array<unsigned char, crypto_generichash_KEYBYTES> key{};
     crypto_generichash(key.data(), key.size(),
                        reinterpret_cast<const unsigned char *>(clusterKey.data()),
--- a/src/state/keysecret.h
+++ b/src/state/keysecret.h
@@ -6,8 +6,8 @@
 
 namespace guavavalve {
 
-/// What a holder of a key shows: "KEYID:SECRET". Not part of the replicated state, which knows
-/// only the keyed hash.
+/// A bearer token, written "KEYID:SECRET". Not part of the replicated state, which holds only the
+/// keyed hash of the secret.
 struct KeyToken
 {
     std::string keyId;
@@ -17,16 +17,16 @@
 /// \errors Unauthenticated if \a text is not "KEYID:SECRET".
 Result<KeyToken> parseToken(const std::string &text);
 
-/// A secret of 256 random bits, as text that can stand in a URL.
-std::string makeSecret();
+/// Generates a secret of 256 random bits, as URL-safe text.
+std::string generateSecret();
 
-/// The keyed hash of a key's secret (BLAKE2b by libsodium), in hexadecimal. \a clusterKey is the
-/// cluster's own secret: who has stolen only the state cannot try guesses against it. The key's
-/// identity goes in too, so that a hash proves nothing for another key.
+/// The keyed hash (libsodium's BLAKE2b) of a key's secret, in hexadecimal. \a clusterKey is the
+/// cluster's secret: without it, secrets cannot be guessed from a stolen copy of the state. The
+/// hash also covers the key ID, so it is not valid for another key.
 /// \errors InvalidArgument if \a clusterKey is shorter than 16 bytes.
 Result<std::string> hashSecret(const KeyToken &token, const std::string &clusterKey);
 
-/// Whether \a token is the one that \a keyedHash was made of; in constant time.
+/// Whether \a keyedHash was computed from \a token. Compares in constant time.
 bool secretMatches(const KeyToken &token, const std::string &clusterKey,
                    const std::string &keyedHash);
 
--- a/src/state/operatorcommands.cpp
+++ b/src/state/operatorcommands.cpp
@@ -20,19 +20,19 @@
     return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-/// A resend is proposed at another time; that alone makes it no other request.
+/// Ignores the time of the write, which differs when the same request is resent.
 std::uint64_t digestOf(WriteSection command)
 {
     command.writtenAt = 0;
     return digestOf<WriteSection>(command);
 }
 
-/// The outcome as it is kept and answered; its bounds keep those of the state.
-CommandOutcome outcomeOf(const Result<ConfigurationChanged> &result)
+/// The outcome as it is stored and returned. The error message is truncated to bound the state.
+CommandOutcome storedOutcome(const Result<ConfigurationChanged> &result)
 {
     if (result.has_error()) {
         Error error = result.error();
-        error.message = error.message.substr(0, longestKeptError);
+        error.message = error.message.substr(0, maxErrorBytes);
         return error;
     }
     return CommandValue(result.value());
@@ -42,56 +42,56 @@
 
 } // namespace internal
 
-/// Runs \a change, unless the request has been served before. Guards against an operator's
-/// resend after a lost answer: without it a second write over the same base would be told that
-/// somebody else had won, when it had itself.
+/// Runs \a change and records its outcome, or returns the recorded outcome if the request has been
+/// applied before. Guards against an operator's resend after a lost answer: the resent write would
+/// otherwise fail with a version conflict that its own first write had caused.
 template<typename OperatorCommand, typename Change>
-CommandOutcome ClusterState::once(const OperatorCommand &command, const std::string &summary,
-                                  Change change)
+CommandOutcome ClusterState::applyOnce(const OperatorCommand &command, const std::string &summary,
+                                       Change change)
 {
     const std::string &requestId = command.requestId;
-    if (requestId.empty() || requestId.size() > internal::longestId)
+    if (requestId.empty() || requestId.size() > internal::maxIdBytes)
         return failure(ErrorCode::InvalidArgument,
-                       "a request needs an identity of 1 to 256 bytes, chosen by its sender");
-    if (summary.size() > internal::longestSummary)
-        return failure(ErrorCode::InvalidArgument,
-                       "a key's identity or a section's name is too long");
+                       "a request needs an ID of 1 to 256 bytes, chosen by its sender");
+    if (summary.size() > internal::maxSummaryBytes)
+        return failure(ErrorCode::InvalidArgument, "the key ID or the section name is too long");
     const std::uint64_t digest = internal::digestOf(command);
     if (const RequestLog::Entry *first = this->requests.find(requestId)) {
         if (first->digest == digest)
             return first->outcome;
         return failure(ErrorCode::Conflict,
-                       "request identity " + internal::quoted(requestId)
-                           + " stands for another request (" + first->summary
-                           + "); choose a new one");
+                       "request ID " + internal::quoted(requestId)
+                           + " was already used for another request (" + first->summary
+                           + "); choose a new ID");
     }
     RequestLog::Entry entry;
     entry.digest = digest;
     entry.summary = summary;
     entry.outcome = change();
     CommandOutcome outcome = entry.outcome;
-    this->requests.keep(requestId, std::move(entry));
+    this->requests.add(requestId, std::move(entry));
     return outcome;
 }
 
 CommandOutcome ClusterState::applyOne(const GrantKey &command)
 {
-    return this->once(command, "grant of key " + internal::quoted(command.keyId),
-                      [&] { return internal::outcomeOf(this->document.grant(command)); });
+    return this->applyOnce(command, "grant of key " + internal::quoted(command.keyId),
+                           [&] { return internal::storedOutcome(this->document.grant(command)); });
 }
 
 CommandOutcome ClusterState::applyOne(const WithdrawKey &command)
 {
-    return this->once(command, "withdrawal of key " + internal::quoted(command.keyId),
-                      [&] { return internal::outcomeOf(this->document.withdraw(command)); });
+    return this->applyOnce(command, "withdrawal of key " + internal::quoted(command.keyId), [&] {
+        return internal::storedOutcome(this->document.withdraw(command));
+    });
 }
 
 CommandOutcome ClusterState::applyOne(const WriteSection &command)
 {
     const std::string summary = "write of section " + internal::quoted(command.section)
         + " with key " + internal::quoted(command.author);
-    return this->once(command, summary, [&] {
-        CommandOutcome outcome = internal::outcomeOf(this->document.write(command));
+    return this->applyOnce(command, summary, [&] {
+        CommandOutcome outcome = internal::storedOutcome(this->document.write(command));
         const std::string team = teamOfSection(command.section);
         if (outcome.has_value() && !team.empty() && this->teamNamed(team) == nullptr) {
             TeamRecord record;
--- a/src/state/outcomearchive.h
+++ b/src/state/outcomearchive.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve::internal {
 
-/// A CommandOutcome as cereal can write it.
+/// A CommandOutcome in a form that cereal can serialise.
 struct StoredOutcome
 {
     bool accepted = true;
--- a/src/state/placementcommands.cpp
+++ b/src/state/placementcommands.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-CommandOutcome recordedOf(const TaskRecord &task)
+CommandOutcome attemptRecorded(const TaskRecord &task)
 {
     AttemptRecorded recorded;
     recorded.state = task.state;
@@ -17,30 +17,30 @@
     return CommandValue(recorded);
 }
 
-Error noTask(TaskId task)
+Error taskNotFound(TaskId task)
 {
-    return failure(ErrorCode::NotFound, "there is no task " + numberOf(task));
+    return failure(ErrorCode::NotFound, "there is no task " + idText(task));
 }
 
-/// Attempts of one task that may be lost with their targets before it is given up.
-constexpr std::uint16_t mostLostAttempts = 5;
+/// Number of lost attempts, each with its target, after which a task fails.
+constexpr std::uint16_t maxLostAttempts = 5;
 
 bool isAnswer(AttemptOutcome outcome)
 {
     return outcome == AttemptOutcome::Succeeded || outcome == AttemptOutcome::Failed;
 }
 
-/// True if an answer of an attempt that was given up as lost may still be taken: the whole of it
-/// had arrived before the target's lease was over, and nothing else was started since. Without
-/// this a confirmation whose entry was cut off for a moment would end as unknown although its
-/// answer is at hand.
-bool mayStillAnswer(const TaskRecord &task, const FinishedAttempt &last)
+/// True if the answer of an attempt that was recorded as lost may still be accepted: no other
+/// attempt was started since. The entry instance had received the complete answer before the
+/// target's lease expired, but could not report it in time. Without this rule, a short network
+/// partition would leave an unrepeatable task in state Unknown although its answer is available.
+bool acceptsLateAnswer(const TaskRecord &task, const FinishedAttempt &last)
 {
     return last.outcome == AttemptOutcome::Lost
         && (task.state == TaskState::Waiting || task.state == TaskState::Unknown);
 }
 
-void keepEnd(JobRecord &job, const EndAttempt &command)
+void recordEnd(JobRecord &job, const EndAttempt &command)
 {
     const auto at =
         std::lower_bound(job.ends.begin(), job.ends.end(), command.task,
@@ -50,8 +50,8 @@
     end.attempt = command.attempt;
     end.outcome = command.outcome;
     end.answerLength = command.answerLength;
-    end.answerDigest = command.answerDigest.substr(0, longestId);
-    end.message = command.message.substr(0, longestMessage);
+    end.answerDigest = command.answerDigest.substr(0, maxIdBytes);
+    end.message = command.message.substr(0, maxMessageBytes);
     if (at != job.ends.end() && at->task == command.task)
         *at = std::move(end);
     else
@@ -66,14 +66,14 @@
 {
     JobRecord *job = this->findJobOf(command.task);
     if (job == nullptr)
-        return internal::noTask(command.task);
+        return internal::taskNotFound(command.task);
     if (job->workClass == WorkClass::Gang)
         return failure(ErrorCode::InvalidArgument,
-                       "task " + internal::numberOf(command.task)
-                           + " is of a gang, whose tasks are placed together");
-    if (auto checked = this->checkPlace(command, *job, Taken()); checked.has_error())
+                       "task " + internal::idText(command.task)
+                           + " belongs to a gang, whose tasks must be placed together");
+    if (auto checked = this->checkPlacement(command, *job, PendingResources()); checked.has_error())
         return checked.error();
-    this->place(command, *job);
+    this->applyPlacement(command, *job);
     return CommandValue(Nothing());
 }
 
@@ -83,83 +83,85 @@
         return checked.error();
     JobRecord &job = *this->findJobOf(command.places.front().task);
     for (const PlaceTask &place : command.places)
-        this->place(place, job);
+        this->applyPlacement(place, job);
     return CommandValue(Nothing());
 }
 
 Result<void> ClusterState::checkGang(const PlaceGang &command) const
 {
     if (command.places.empty())
-        return failure(ErrorCode::InvalidArgument, "a gang's placement names no task");
+        return failure(ErrorCode::InvalidArgument, "the placement of a gang names no task");
     const JobRecord *job = this->jobOf(command.places.front().task);
     if (job == nullptr)
-        return internal::noTask(command.places.front().task);
+        return internal::taskNotFound(command.places.front().task);
     const auto waiting =
         std::count_if(job->tasks.begin(), job->tasks.end(),
                       [](const TaskRecord &task) { return task.state == TaskState::Waiting; });
     if (static_cast<std::size_t>(waiting) != command.places.size())
         return failure(ErrorCode::Conflict,
-                       "job " + internal::numberOf(job->id) + " has " + std::to_string(waiting)
-                           + " tasks waiting; a gang's are placed all at once");
+                       "job " + internal::idText(job->id) + " has " + std::to_string(waiting)
+                           + " waiting tasks, but the placement names "
+                           + std::to_string(command.places.size()));
     std::set<TaskId> seen;
-    Taken taken;
+    PendingResources pending;
     for (const PlaceTask &place : command.places) {
         if (this->jobOf(place.task) != job || !seen.insert(place.task).second)
-            return failure(ErrorCode::InvalidArgument,
-                           "a gang's placement names each task of one job once");
-        if (auto checked = this->checkPlace(place, *job, taken); checked.has_error())
+            return failure(
+                ErrorCode::InvalidArgument,
+                "the placement of a gang must name each task once, and only tasks of one job");
+        if (auto checked = this->checkPlacement(place, *job, pending); checked.has_error())
             return checked.error();
-        taken.onTargets[place.target] += job->need;
-        taken.byTeam += job->need;
+        pending.onTargets[place.target] += job->need;
+        pending.byTeam += job->need;
     }
     return boost::outcome_v2::success();
 }
 
-Result<void> ClusterState::checkPlace(const PlaceTask &place, const JobRecord &job,
-                                      const Taken &taken) const
+Result<void> ClusterState::checkPlacement(const PlaceTask &place, const JobRecord &job,
+                                          const PendingResources &pending) const
 {
     const TaskRecord &task = job.tasks[job.position(place.task)];
     if (task.state != TaskState::Waiting || place.attempt != task.attempt + 1)
         return failure(ErrorCode::Conflict,
-                       "task " + internal::numberOf(place.task) + " is "
+                       "attempt " + std::to_string(place.attempt) + " of task "
+                           + internal::idText(place.task) + " cannot be placed; the task is "
                            + std::string(enumName(taskStateNames, task.state)) + " after attempt "
-                           + std::to_string(task.attempt) + "; attempt "
-                           + std::to_string(place.attempt) + " cannot be placed");
-    if (place.dispatcher.size() > internal::longestId)
+                           + std::to_string(task.attempt));
+    if (place.dispatcher.size() > internal::maxIdBytes)
         return failure(ErrorCode::InvalidArgument, "an entry's name is at most 256 bytes long");
     const TargetRecord *target = this->target(place.target);
     if (target == nullptr)
-        return failure(ErrorCode::NotFound,
-                       "there is no target " + internal::numberOf(place.target));
+        return failure(ErrorCode::NotFound, "there is no target " + internal::idText(place.target));
     if (target->incarnation != place.incarnation || !target->takesWork())
         return failure(ErrorCode::Conflict,
                        "target " + internal::quoted(target->name)
                            + " takes no work under incarnation "
                            + std::to_string(place.incarnation));
-    return this->checkRoom(place, job, taken);
+    return this->checkResources(place, job, pending);
 }
 
-Result<void> ClusterState::checkRoom(const PlaceTask &place, const JobRecord &job,
-                                     const Taken &taken) const
+Result<void> ClusterState::checkResources(const PlaceTask &place, const JobRecord &job,
+                                          const PendingResources &pending) const
 {
     const TargetRecord &target = *this->target(place.target);
     Resources onTarget = target.used + job.need;
-    const auto already = taken.onTargets.find(place.target);
-    if (already != taken.onTargets.end())
+    const auto already = pending.onTargets.find(place.target);
+    if (already != pending.onTargets.end())
         onTarget += already->second;
     if (!onTarget.fitsInto(target.total))
         return failure(ErrorCode::LimitExceeded,
-                       "target " + internal::quoted(target.name) + " has no room for task "
-                           + internal::numberOf(place.task));
+                       "target " + internal::quoted(target.name) + " lacks the resources for task "
+                           + internal::idText(place.task));
     const TeamRecord &team = *this->team(job.team);
-    if (!(team.running + taken.byTeam + job.need).fitsInto(this->limitOf(job.team)))
+    if (!(team.running + pending.byTeam + job.need).fitsInto(this->limitOf(job.team)))
         return failure(ErrorCode::LimitExceeded,
-                       "task " + internal::numberOf(place.task) + " would take team "
-                           + internal::quoted(team.name) + " past its upper limit");
+                       "task " + internal::idText(place.task)
+                           + " would exceed the upper limit of team "
+                           + internal::quoted(team.name));
     return boost::outcome_v2::success();
 }
 
-void ClusterState::place(const PlaceTask &place, JobRecord &job)
+void ClusterState::applyPlacement(const PlaceTask &place, JobRecord &job)
 {
     TaskRecord &task = job.tasks[job.position(place.task)];
     task.state = TaskState::Placed;
@@ -180,7 +182,7 @@
     --team.waitingTasks;
 }
 
-void ClusterState::unplace(JobRecord &job, TaskId id)
+void ClusterState::releasePlacement(JobRecord &job, TaskId id)
 {
     TaskRecord &task = job.tasks[job.position(id)];
     task.dispatcher.clear();
@@ -196,60 +198,60 @@
 {
     JobRecord *job = this->findJobOf(command.task);
     if (job == nullptr)
-        return internal::noTask(command.task);
+        return internal::taskNotFound(command.task);
     TaskRecord &task = job->tasks[job->position(command.task)];
     if (command.attempt == 0 || command.attempt != task.attempt)
         return failure(ErrorCode::Conflict,
                        "attempt " + std::to_string(command.attempt) + " of task "
-                           + internal::numberOf(command.task) + " is not the current one, "
+                           + internal::idText(command.task) + " is not the current attempt, "
                            + std::to_string(task.attempt));
     if (task.state == TaskState::Placed) {
         this->endAttempt(*job, command);
-        return internal::recordedOf(task);
+        return internal::attemptRecorded(task);
     }
     const FinishedAttempt &last = *job->end(command.task);
     if (last.outcome == command.outcome)
-        return internal::recordedOf(task);
-    if (internal::isAnswer(command.outcome) && internal::mayStillAnswer(task, last)) {
-        this->takeLateAnswer(*job, command);
-        return internal::recordedOf(task);
+        return internal::attemptRecorded(task);
+    if (internal::isAnswer(command.outcome) && internal::acceptsLateAnswer(task, last)) {
+        this->recordLateAnswer(*job, command);
+        return internal::attemptRecorded(task);
     }
     return failure(ErrorCode::Conflict,
                    "attempt " + std::to_string(command.attempt) + " of task "
-                       + internal::numberOf(command.task) + " ended before as "
+                       + internal::idText(command.task) + " has already ended as "
                        + std::string(enumName(attemptOutcomeNames, last.outcome)));
 }
 
 void ClusterState::endAttempt(JobRecord &job, const EndAttempt &end)
 {
-    internal::keepEnd(job, end);
-    this->unplace(job, end.task);
-    this->settle(job, end.task, end.outcome, end.endedAt);
+    internal::recordEnd(job, end);
+    this->releasePlacement(job, end.task);
+    this->applyOutcome(job, end.task, end.outcome, end.endedAt);
     const TaskState state = job.tasks[job.position(end.task)].state;
     if (end.outcome == AttemptOutcome::Lost && state == TaskState::Failed) {
-        EndAttempt given = end;
-        given.message = "given up, since too many targets were lost while they ran it; the last: "
-            + end.message;
-        internal::keepEnd(job, given);
+        EndAttempt exhausted = end;
+        exhausted.message = "given up after " + std::to_string(internal::maxLostAttempts)
+            + " attempts were lost with their targets; the last: " + end.message;
+        internal::recordEnd(job, exhausted);
     }
 }
 
-void ClusterState::takeLateAnswer(JobRecord &job, const EndAttempt &end)
+void ClusterState::recordLateAnswer(JobRecord &job, const EndAttempt &end)
 {
     TaskRecord &task = job.tasks[job.position(end.task)];
-    internal::keepEnd(job, end);
+    internal::recordEnd(job, end);
     if (task.state == TaskState::Waiting) {
         --this->teamTable[job.team].waitingTasks;
-        this->settle(job, end.task, end.outcome, end.endedAt);
+        this->applyOutcome(job, end.task, end.outcome, end.endedAt);
         return;
     }
-    // It had been counted as finished, as unknown; now more is known.
+    // The task already counts as finished, in state Unknown, so only its state changes.
     task.ran = Ran::Yes;
     task.state =
         end.outcome == AttemptOutcome::Succeeded ? TaskState::Succeeded : TaskState::Failed;
 }
 
-void ClusterState::settle(JobRecord &job, TaskId id, AttemptOutcome outcome, std::int64_t at)
+void ClusterState::applyOutcome(JobRecord &job, TaskId id, AttemptOutcome outcome, std::int64_t at)
 {
     TaskRecord &task = job.tasks[job.position(id)];
     if (internal::isAnswer(outcome)) {
@@ -268,7 +270,7 @@
         this->finishTask(job, task, TaskState::Cancelled, at);
     } else if (!job.repeatable && task.ran != Ran::No) {
         this->finishTask(job, task, TaskState::Unknown, at);
-    } else if (outcome == AttemptOutcome::Lost && this->isLostTooOften(job, id)) {
+    } else if (outcome == AttemptOutcome::Lost && this->countLostAttempt(job, id)) {
         this->finishTask(job, task, TaskState::Failed, at);
     } else {
         task.state = TaskState::Waiting;
@@ -276,12 +278,12 @@
     }
 }
 
-/// Guards against a task that takes down each target that starts it. Services are not counted: over
-/// their life they lose many targets.
-bool ClusterState::isLostTooOften(const JobRecord &job, TaskId id)
+/// Guards against a task that crashes every target on which it starts. Services are not counted:
+/// over their lifetime they lose many targets for other reasons.
+bool ClusterState::countLostAttempt(const JobRecord &job, TaskId id)
 {
     return job.workClass != WorkClass::Service
-        && ++this->lostAttempts[id] >= internal::mostLostAttempts;
+        && ++this->lostAttempts[id] >= internal::maxLostAttempts;
 }
 
 void ClusterState::finishTask(JobRecord &job, TaskRecord &task, TaskState state, std::int64_t at)
@@ -301,13 +303,13 @@
 {
     JobRecord *job = this->findJobOf(command.task);
     if (job == nullptr)
-        return internal::noTask(command.task);
+        return internal::taskNotFound(command.task);
     TaskRecord &task = job->tasks[job->position(command.task)];
     if (task.state != TaskState::Placed || task.attempt != command.attempt)
         return failure(ErrorCode::Conflict,
                        "attempt " + std::to_string(command.attempt) + " of task "
-                           + internal::numberOf(command.task) + " is over");
-    if (command.entry.size() > internal::longestId)
+                           + internal::idText(command.task) + " is not in progress");
+    if (command.entry.size() > internal::maxIdBytes)
         return failure(ErrorCode::InvalidArgument, "an entry's name is at most 256 bytes long");
     task.dispatcher = command.entry;
     return CommandValue(Nothing());
--- a/src/state/policydocument.cpp
+++ b/src/state/policydocument.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-constexpr std::int64_t longestTimeMs = std::int64_t{30} * 24 * 3600 * 1000;
-constexpr std::int64_t mostTasks = 10000000;
+constexpr std::int64_t maxTimeMs = std::int64_t{30} * 24 * 3600 * 1000;
+constexpr std::int64_t maxTasks = 10000000;
 
 template<typename Policy>
 void addResources(FieldTable<Policy> &table, const std::string &group, Resources Policy::*member,
@@ -42,12 +42,12 @@
         table.integer(
             path + ".maxRunTimeMs",
             [i](Policy &policy) -> std::int64_t & { return policy.classes[i].maxRunTimeMs; },
-            Unit::Ms, {0, longestTimeMs}, "Longest run time; 0: no limit of its own.");
+            Unit::Ms, {0, maxTimeMs}, "Maximum run time; 0: no limit in this section.");
         table.integer(
             path + ".startWithinMs",
             [i](Policy &policy) -> std::int64_t & { return policy.classes[i].startWithinMs; },
-            Unit::Ms, {0, longestTimeMs},
-            "Time to start for requests that name none; 0: none of its own.");
+            Unit::Ms, {0, maxTimeMs},
+            "Default time to start for requests that set none; 0: no default in this section.");
     }
 }
 
@@ -55,27 +55,27 @@
 {
     FieldTable<CellSection> table;
     table.integer("promptHeadroomPercent", &CellSection::promptHeadroomPercent, Unit::Percent,
-                  {0, 90}, "Part of the fleet kept free of other classes for prompt work.");
+                  {0, 90}, "Part of the fleet's capacity reserved for prompt work.");
     table.integer("totalShares", &CellSection::totalShares, Unit::None, {0, 1000000000},
-                  "The most that all teams' shares may add up to; 0: any.");
+                  "Maximum sum of all teams' shares; 0: no limit.");
     table.integer("defaultShare", &CellSection::defaultShare, Unit::None, {1, 1000000},
-                  "Share of a team whose section names none.");
+                  "Share of a team whose section sets none.");
     addResources(table, "defaultLimit", &CellSection::defaultLimit, false,
-                 "Upper limit of a team whose section names none; 2^53: no limit.");
+                 "Upper limit of a team whose section sets none; 2^53: no limit.");
     addResources(table, "maxTeamLimit", &CellSection::maxTeamLimit, false,
-                 "The most that a team's upper limit may be; 2^53: any.");
-    table.integer("maxWaitingTasks", &CellSection::maxWaitingTasks, Unit::None, {1, mostTasks},
-                  "Tasks that a team may have waiting; more are refused.");
+                 "Maximum of a team's upper limit; 2^53: no limit.");
+    table.integer("maxWaitingTasks", &CellSection::maxWaitingTasks, Unit::None, {1, maxTasks},
+                  "Maximum number of waiting tasks per team; more are refused.");
     table.integer("maxTasksPerJob", &CellSection::maxTasksPerJob, Unit::None, {1, 100000},
-                  "Tasks that one job may have.");
+                  "Maximum number of tasks per job.");
     table.integer("maxPayloadBytes", &CellSection::maxPayloadBytes, Unit::Bytes, {1024, 8388608},
-                  "Largest payload of a job.");
+                  "Maximum payload of a job.");
     table.integer("targetLeaseMs", &CellSection::targetLeaseMs, Unit::Ms, {200, 600000},
-                  "Lease of a target, counted from when it sent its announcement.");
+                  "Lease of a target, starting when the target sends its announcement.");
     table.integer("driftMarginMs", &CellSection::driftMarginMs, Unit::Ms, {0, 60000},
-                  "Added to a lease by whoever waits for its end, for clocks that run unlike.");
+                  "Allowance for clock drift, added when waiting for a lease to expire.");
     table.integer("quarantinePercent", &CellSection::quarantinePercent, Unit::Percent, {0, 50},
-                  "The most of the fleet that may be in quarantine for failing.");
+                  "Maximum part of the fleet that may be quarantined for failures.");
     addClasses(table);
     return table;
 }
@@ -84,22 +84,23 @@
 {
     FieldTable<TeamSection> table;
     table.text("description", &TeamSection::description, TextFormat::Any, {0, 1000},
-               "What the team does, for people.");
+               "What the team does, human-readable.");
     table.text("contact", &TeamSection::contact, TextFormat::Any, {0, 200},
-               "Whom to ask about its work.");
+               "Whom to contact about the team's work.");
     table
         .integer("share", &TeamSection::share, Unit::None, {1, 1000000},
-                 "Weight against other teams when the cell is full.")
+                 "Weight relative to other teams when the cell is full.")
         .operatorsOnly = true;
     addResources(table, "limit", &TeamSection::limit, true,
-                 "Upper limit on what the team may have running; 2^53: no limit.");
-    table.integer("maxWaitingTasks", &TeamSection::maxWaitingTasks, Unit::None, {0, mostTasks},
-                  "Tasks that may wait; 0: as the cell says. The cell's bound holds beside it.");
+                 "Upper limit on the resources of the team's running tasks; 2^53: no limit.");
+    table.integer(
+        "maxWaitingTasks", &TeamSection::maxWaitingTasks, Unit::None, {0, maxTasks},
+        "Maximum number of waiting tasks; 0: the cell's limit. The cell's limit always applies.");
     addClasses(table);
     return table;
 }
 
-/// What a team has whose section says nothing.
+/// The policy of a team whose section is empty.
 TeamSection teamDefaults(const CellSection &cell)
 {
     TeamSection policy;
@@ -116,11 +117,11 @@
     return policy;
 }
 
-class DocumentReader
+class DocumentParser
 {
 public:
-    explicit DocumentReader(DocumentReading &into)
-        : reading(into)
+    explicit DocumentParser(ParsedDocument &into)
+        : parsed(into)
     {}
 
     template<typename Policy>
@@ -137,28 +138,28 @@
 
     void readTeam(const std::string &section, const std::string &text)
     {
-        TeamSection policy = teamDefaults(this->reading.policies.cell);
+        TeamSection policy = teamDefaults(this->parsed.policies.cell);
         this->readSection(section, text, teamPolicyTable(), policy);
         this->checkTeam(section, policy);
-        this->reading.policies.teams[teamOfSection(section)] = policy;
+        this->parsed.policies.teams[teamOfSection(section)] = policy;
     }
 
     void checkShares()
     {
-        const std::int64_t most = this->reading.policies.cell.totalShares;
+        const std::int64_t maxShares = this->parsed.policies.cell.totalShares;
         std::int64_t sum = 0;
-        for (const auto &[name, team] : this->reading.policies.teams)
+        for (const auto &[name, team] : this->parsed.policies.teams)
             sum += team.share;
-        if (most > 0 && sum > most)
-            this->report(cellSection,
-                         {"totalShares", "teams' shares adding up to " + std::to_string(sum),
-                          "at most " + std::to_string(most)});
+        if (maxShares > 0 && sum > maxShares)
+            this->report(cellSectionName,
+                         {"totalShares", "teams' shares with a sum of " + std::to_string(sum),
+                          "at most " + std::to_string(maxShares)});
     }
 
 private:
     void checkTeam(const std::string &section, const TeamSection &team)
     {
-        const CellSection &cell = this->reading.policies.cell;
+        const CellSection &cell = this->parsed.policies.cell;
         for (std::size_t i = 0; i < resourceKindCount; ++i) {
             if (team.limit.amounts[i] > cell.maxTeamLimit.amounts[i])
                 this->report(section,
@@ -173,11 +174,12 @@
 
     void checkClass(const std::string &section, WorkClass workClass, const TeamSection &team)
     {
-        const CellClassPolicy &allowed = this->reading.policies.cell.classPolicy(workClass);
+        const CellClassPolicy &allowed = this->parsed.policies.cell.classPolicy(workClass);
         const TeamClassPolicy &asked = team.classPolicy(workClass);
         const std::string path = "classes." + std::string(enumName(workClassNames, workClass));
         if (asked.enabled && !allowed.enabled)
-            this->report(section, {path + ".enabled", "true", "false, as the cell has it off"});
+            this->report(section,
+                         {path + ".enabled", "true", "false, since the cell disables the class"});
         if (allowed.maxRunTimeMs > 0
             && (asked.maxRunTimeMs == 0 || asked.maxRunTimeMs > allowed.maxRunTimeMs))
             this->report(section,
@@ -188,10 +190,10 @@
     void report(const std::string &section, Problem problem)
     {
         problem.path = problem.path.empty() ? section : section + ": " + problem.path;
-        this->reading.problems.push_back(std::move(problem));
+        this->parsed.problems.push_back(std::move(problem));
     }
 
-    DocumentReading &reading;
+    ParsedDocument &parsed;
 };
 
 } // namespace
@@ -219,31 +221,31 @@
     return isName(team) ? team : "";
 }
 
-DocumentReading readDocument(const SectionTexts &texts)
+ParsedDocument readDocument(const SectionTexts &texts)
 {
-    DocumentReading reading;
-    internal::DocumentReader reader(reading);
-    const auto cell = texts.find(cellSection);
+    ParsedDocument parsed;
+    internal::DocumentParser reader(parsed);
+    const auto cell = texts.find(cellSectionName);
     if (cell != texts.end())
-        reader.readSection(cell->first, cell->second, cellPolicyTable(), reading.policies.cell);
+        reader.readSection(cell->first, cell->second, cellPolicyTable(), parsed.policies.cell);
     for (const auto &[section, text] : texts) {
         if (!teamOfSection(section).empty())
             reader.readTeam(section, text);
     }
     reader.checkShares();
-    return reading;
+    return parsed;
 }
 
-DocumentReading readTeamChanges(const PolicyDocument &before, const SectionTexts &texts)
+ParsedDocument readTeamChanges(const PolicyDocument &before, const SectionTexts &texts)
 {
-    DocumentReading reading;
-    reading.policies = before;
-    internal::DocumentReader reader(reading);
+    ParsedDocument parsed;
+    parsed.policies = before;
+    internal::DocumentParser reader(parsed);
     for (const auto &[section, text] : texts)
         reader.readTeam(section, text);
-    // Only now: one team's share may have grown by what another's has shrunk.
+    // Checked after all sections are read, since a share may have moved from one team to another.
     reader.checkShares();
-    return reading;
+    return parsed;
 }
 
 } // namespace guavavalve
--- a/src/state/policydocument.h
+++ b/src/state/policydocument.h
@@ -11,39 +11,39 @@
 
 namespace guavavalve {
 
-/// The sections of the configuration document, read into policies.
+/// The policies parsed from the sections of a configuration document.
 struct PolicyDocument
 {
     CellSection cell;
     std::map<std::string, TeamSection> teams; ///< by name
 };
 
-/// What may stand in a section "cell", and in a section "team.NAME".
+/// The fields of the section "cell" and of the sections "team.NAME".
 const FieldTable<CellSection> &cellPolicyTable();
 const FieldTable<TeamSection> &teamPolicyTable();
 
-/// The name of the operators' section, and what a team's section begins with.
-inline constexpr const char *cellSection = "cell";
+/// The name of the operators' section, and the prefix of the team sections' names.
+inline constexpr const char *cellSectionName = "cell";
 inline constexpr const char *teamSectionPrefix = "team.";
 
-/// The team whose section \a section is; empty if it is no team's.
+/// The team that \a section belongs to; empty if it is not a team's section.
 std::string teamOfSection(const std::string &section);
 
-/// The JSON texts of a document, by section.
+/// The JSON texts of a document, by section name.
 using SectionTexts = std::map<std::string, std::string>;
 
-/// A document read whole, with everything that is wrong in it.
-struct DocumentReading
+/// A parsed document with all problems found in it.
+struct ParsedDocument
 {
     PolicyDocument policies;
-    std::vector<Problem> problems; ///< paths begin with the section's name
+    std::vector<Problem> problems; ///< paths start with the section name
 };
 
-/// Reads every section of \a texts, and checks them against each other.
-DocumentReading readDocument(const SectionTexts &texts);
+/// Parses every section of \a texts and validates them against each other.
+ParsedDocument readDocument(const SectionTexts &texts);
 
-/// The document \a before with the sections of some teams replaced by \a texts. Gives what
-/// readDocument() of the whole would give, at the cost of reading these sections.
-DocumentReading readTeamChanges(const PolicyDocument &before, const SectionTexts &texts);
+/// Replaces the sections of some teams in \a before by \a texts. Equivalent to readDocument() of
+/// the resulting document, but parses only these sections.
+ParsedDocument readTeamChanges(const PolicyDocument &before, const SectionTexts &texts);
 
 } // namespace guavavalve
--- a/src/state/requestlog.cpp
+++ b/src/state/requestlog.cpp
@@ -10,7 +10,7 @@
     return found == this->entries.end() ? nullptr : &found->second;
 }
 
-void RequestLog::keep(const std::string &requestId, Entry entry)
+void RequestLog::add(const std::string &requestId, Entry entry)
 {
     if (!this->entries.emplace(requestId, std::move(entry)).second)
         return;
--- a/src/state/requestlog.h
+++ b/src/state/requestlog.h
@@ -11,25 +11,26 @@
 
 namespace guavavalve {
 
-/// The results of the latest operator requests, so that a resend after a lost answer returns the
-/// first result and does nothing twice. Bounded; the oldest are released.
+/// The results of recent operator requests. A request that is resent after its answer was lost
+/// returns the first result and is not applied again. Bounded; the oldest results are evicted.
 class RequestLog
 {
 public:
-    /// About two hours of the 41,000 changes a day that the design allows for.
+    /// About two hours of requests at the supported rate of 41,000 changes per day.
     static constexpr std::size_t capacity = 4096;
 
     struct Entry
     {
         std::uint64_t digest = 0; ///< of the request's content
-        std::string summary; ///< who asked for what
+        std::string summary; ///< what was requested, for error messages
         CommandOutcome outcome = CommandValue(Nothing());
     };
 
-    /// The first request that came as \a requestId, or null.
+    /// The first request with ID \a requestId, or null.
     const Entry *find(const std::string &requestId) const;
 
-    void keep(const std::string &requestId, Entry entry);
+    /// Records the outcome of a request; no effect if \a requestId is already recorded.
+    void add(const std::string &requestId, Entry entry);
 
     std::size_t size() const { return this->entries.size(); }
 
--- a/src/state/requestlogarchive.h
+++ b/src/state/requestlogarchive.h
@@ -23,7 +23,7 @@
     std::uint64_t count = 0;
     archive(count);
     if (count > capacity)
-        throw cereal::Exception("more kept requests than there may be");
+        throw cereal::Exception("the request log has more entries than its capacity");
     this->entries.clear();
     this->order.clear();
     for (std::uint64_t i = 0; i < count; ++i) {
@@ -32,7 +32,7 @@
         internal::StoredOutcome stored;
         archive(requestId, entry.digest, entry.summary, stored);
         entry.outcome = stored.outcome();
-        this->keep(requestId, std::move(entry));
+        this->add(requestId, std::move(entry));
     }
 }
 
--- a/src/state/sectiondiff.cpp
+++ b/src/state/sectiondiff.cpp
@@ -41,13 +41,13 @@
     internal::Leaves old = internal::leavesOf(before);
     std::map<std::string, FieldChange> changes;
     for (const auto &[path, value] : internal::leavesOf(after)) {
-        const auto was = old.find(path);
-        if (was == old.end())
+        const auto previous = old.find(path);
+        if (previous == old.end())
             changes[path] = {path, "", value};
-        else if (was->second != value)
-            changes[path] = {path, was->second, value};
-        if (was != old.end())
-            old.erase(was);
+        else if (previous->second != value)
+            changes[path] = {path, previous->second, value};
+        if (previous != old.end())
+            old.erase(previous);
     }
     for (const auto &[path, value] : old)
         changes[path] = {path, value, ""};
@@ -60,10 +60,10 @@
 
 std::string changesText(const std::string &before, const std::string &after)
 {
-    constexpr std::size_t longest = 600;
+    constexpr std::size_t truncateAfterBytes = 600;
     std::string text;
     for (const FieldChange &change : sectionChanges(before, after)) {
-        if (text.size() > longest)
+        if (text.size() > truncateAfterBytes)
             return text + ", and more";
         text += (text.empty() ? "" : ", ") + change.path + ": "
             + (change.before.empty() ? "not set" : change.before) + " -> "
--- a/src/state/sectiondiff.h
+++ b/src/state/sectiondiff.h
@@ -7,11 +7,11 @@
 
 namespace guavavalve {
 
-/// The fields that differ between two JSON texts of a section, by path. A text that cannot be
-/// read counts as empty: its faults are told by the check.
+/// The fields that differ between two JSON texts of a section, sorted by path. A text that cannot
+/// be parsed counts as empty; validation reports its problems.
 std::vector<FieldChange> sectionChanges(const std::string &before, const std::string &after);
 
-/// The same for a person to read, cut to a length that fits a message.
+/// The differing fields as human-readable text, truncated to fit in an error message.
 std::string changesText(const std::string &before, const std::string &after);
 
 } // namespace guavavalve
--- a/src/state/sectionpreview.h
+++ b/src/state/sectionpreview.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// One field that a write would change.
+/// A field that a write would change.
 struct FieldChange
 {
     std::string path; ///< "limit.slots"
@@ -20,12 +20,12 @@
     }
 };
 
-/// What a write of a section would do.
+/// The effect that a write of a section would have.
 struct SectionPreview
 {
-    std::uint64_t currentVersion = 0; ///< 0: there is none yet
+    std::uint64_t currentVersion = 0; ///< 0: the section does not exist yet
     std::vector<FieldChange> changes;
-    std::vector<std::string> problems; ///< empty: it would be accepted
+    std::vector<std::string> problems; ///< empty: the write would be accepted
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr std::uint32_t snapshotMagic = 0x53564755; // "GUVS"
-// Older formats are still read.
+// Older formats can still be restored.
 constexpr std::uint16_t firstSnapshotFormat = 1;
 constexpr std::uint16_t formatWithEvacuations = 2;
-constexpr std::uint16_t formatWithLosses = 3;
-constexpr std::uint16_t snapshotFormat = formatWithLosses;
+constexpr std::uint16_t formatWithLostAttempts = 3;
+constexpr std::uint16_t snapshotFormat = formatWithLostAttempts;
 constexpr std::size_t checksumBytes = sizeof(std::uint64_t);
 
 std::uint64_t checksumOf(const char *bytes, std::size_t size)
@@ -35,26 +35,28 @@
     return failure(ErrorCode::Corrupt, what);
 }
 
-/// What the code relies on when it reaches into a job: no other task's identity is in its range,
-/// and an attempt that is over has its end kept.
-Result<void> checkJobRecord(JobId id, const JobRecord &job, TaskId next)
+/// Checks what other code relies on when it accesses a job: its range of task IDs overlaps no other
+/// job's, and every finished attempt has a record of its end.
+Result<void> checkJobRecord(JobId id, const JobRecord &job, TaskId nextTaskId)
 {
-    if (id != job.id || idValue(id) >= idValue(next)
-        || job.tasks.size() > idValue(next) - idValue(id))
-        return corrupt("job " + numberOf(id) + " is filed under another's identity");
+    if (id != job.id || idValue(id) >= idValue(nextTaskId)
+        || job.tasks.size() > idValue(nextTaskId) - idValue(id))
+        return corrupt("job " + idText(id)
+                       + " is stored under a wrong ID or has more tasks than assigned IDs");
     for (std::size_t i = 0; i < job.tasks.size(); ++i) {
         const TaskRecord &task = job.tasks[i];
         const bool over = task.attempt > 0 && task.state != TaskState::Placed;
         if (enumName(taskStateNames, task.state) == "unknown" && task.state != TaskState::Unknown)
-            return corrupt("a task of job " + numberOf(id) + " is in no known state");
+            return corrupt("a task of job " + idText(id) + " has an unknown state");
         if (over && job.end(job.taskId(i)) == nullptr)
-            return corrupt("a task of job " + numberOf(id) + " has lost how its attempt ended");
+            return corrupt("a task of job " + idText(id)
+                           + " has no record of the end of its attempt");
     }
     return boost::outcome_v2::success();
 }
 
-/// What the tasks say that a target or a team has.
-struct Counted
+/// The totals of a target or team, recomputed from the tasks.
+struct RecomputedTotals
 {
     Resources used;
     std::uint32_t placed = 0;
@@ -69,11 +71,11 @@
 template<typename Archive>
 void ClusterState::serializeRecords(Archive &archive, std::uint16_t format)
 {
-    archive(this->next, this->nextTarget, this->document, this->requests, this->jobTable,
+    archive(this->nextTaskId, this->nextTargetId, this->document, this->requests, this->jobTable,
             this->targetTable, this->teamTable);
     if (format >= internal::formatWithEvacuations)
         archive(this->evacuated);
-    if (format >= internal::formatWithLosses)
+    if (format >= internal::formatWithLostAttempts)
         archive(this->lostAttempts);
 }
 
@@ -82,7 +84,8 @@
     std::string bytes;
     MemoryOutputArchive writer(bytes);
     writer(internal::snapshotMagic, internal::snapshotFormat, this->shardNumber);
-    // cereal's serialize() functions serve both ways and so are not const; writing changes nothing.
+    // cereal uses the same serialize() functions for reading and writing, so they are not const.
+    // Writing does not modify the state.
     const_cast<ClusterState *>(this)->serializeRecords(writer, internal::snapshotFormat);
     const std::uint64_t checksum = internal::checksumOf(bytes.data(), bytes.size());
     writer(checksum);
@@ -92,7 +95,7 @@
 Result<void> ClusterState::restore(const std::string &bytes)
 {
     if (bytes.size() < internal::checksumBytes)
-        return internal::corrupt("a snapshot is too short");
+        return internal::corrupt("the snapshot is too short to hold a checksum");
     const std::size_t bodySize = bytes.size() - internal::checksumBytes;
     ClusterState restored(this->shardNumber);
     try {
@@ -102,7 +105,7 @@
         MemoryInputArchive tailReader(tail);
         tailReader(checksum);
         if (checksum != internal::checksumOf(body.data(), body.size()))
-            return internal::corrupt("a snapshot does not have the checksum that it names");
+            return internal::corrupt("the checksum of the snapshot does not match its content");
         MemoryInputArchive reader(body);
         std::uint32_t magic = 0;
         std::uint16_t format = 0;
@@ -111,26 +114,26 @@
         const bool isKnown =
             format >= internal::firstSnapshotFormat && format <= internal::snapshotFormat;
         if (magic != internal::snapshotMagic || !isKnown)
-            return internal::corrupt("a snapshot is not of the format that this version reads");
+            return internal::corrupt("the snapshot has a format that this version cannot read");
         if (shard != this->shardNumber)
-            return internal::corrupt("a snapshot is of shard " + std::to_string(shard)
-                                     + " and not of " + std::to_string(this->shardNumber));
+            return internal::corrupt("the snapshot is of shard " + std::to_string(shard)
+                                     + ", not of shard " + std::to_string(this->shardNumber));
         restored.serializeRecords(reader, format);
         if (reader.bytesLeft() != 0)
-            return internal::corrupt("a snapshot has bytes left over");
+            return internal::corrupt("the snapshot has trailing bytes");
     } catch (const std::exception &error) {
-        return internal::corrupt(std::string("a snapshot cannot be decoded: ") + error.what());
+        return internal::corrupt(std::string("the snapshot cannot be decoded: ") + error.what());
     }
-    if (auto read = restored.document.readPolicies(); read.has_error())
+    if (auto read = restored.document.rebuildPolicies(); read.has_error())
         return read.error();
-    restored.indexRecords();
-    if (auto counted = restored.recount(); counted.has_error())
+    restored.rebuildIndexes();
+    if (auto counted = restored.verifyCounts(); counted.has_error())
         return counted.error();
     *this = std::move(restored);
     return boost::outcome_v2::success();
 }
 
-void ClusterState::indexRecords()
+void ClusterState::rebuildIndexes()
 {
     for (auto &[id, target] : this->targetTable) {
         this->targetsByName[target.name] = id;
@@ -139,18 +142,18 @@
     for (const auto &[id, team] : this->teamTable)
         this->teamsByName[team.name] = id;
     for (const auto &[id, job] : this->jobTable)
-        this->jobsByKey[{job.team, job.idempotencyKey}] = id;
+        this->jobsByIdempotencyKey[{job.team, job.idempotencyKey}] = id;
 }
 
-Result<void> ClusterState::recount() const
+Result<void> ClusterState::verifyCounts() const
 {
-    std::map<TargetId, internal::Counted> byTarget;
-    std::map<TeamId, internal::Counted> byTeam;
+    std::map<TargetId, internal::RecomputedTotals> byTarget;
+    std::map<TeamId, internal::RecomputedTotals> byTeam;
     for (const auto &[id, job] : this->jobTable) {
-        if (auto checked = internal::checkJobRecord(id, job, this->next); checked.has_error())
+        if (auto checked = internal::checkJobRecord(id, job, this->nextTaskId); checked.has_error())
             return checked.error();
         std::uint32_t unfinished = 0;
-        internal::Counted &team = byTeam[job.team];
+        internal::RecomputedTotals &team = byTeam[job.team];
         for (std::size_t i = 0; i < job.tasks.size(); ++i) {
             const TaskRecord &task = job.tasks[i];
             unfinished += isFinal(task.state) ? 0 : 1;
@@ -159,33 +162,35 @@
                 continue;
             ++team.placed;
             team.used += job.need;
-            internal::Counted &target = byTarget[task.target];
+            internal::RecomputedTotals &target = byTarget[task.target];
             target.used += job.need;
             target.tasks.push_back(job.taskId(i));
         }
         if (unfinished != job.unfinished)
-            return internal::corrupt("job " + internal::numberOf(id) + " counts its tasks wrongly");
+            return internal::corrupt("job " + internal::idText(id)
+                                     + " has a wrong count of unfinished tasks");
     }
     for (const auto &[id, target] : this->targetTable) {
-        const internal::Counted &counted = byTarget[id];
-        if (id != target.id || id >= this->nextTarget)
+        const internal::RecomputedTotals &counted = byTarget[id];
+        if (id != target.id || id >= this->nextTargetId)
             return internal::corrupt("target " + internal::quoted(target.name)
-                                     + " is filed under another's identity");
+                                     + " is stored under a wrong ID");
         if (counted.used != target.used || counted.tasks != target.tasks)
             return internal::corrupt("target " + internal::quoted(target.name)
-                                     + " counts what is placed there wrongly");
+                                     + " has wrong totals of its placed tasks");
     }
     for (const auto &[id, team] : this->teamTable) {
-        const internal::Counted &counted = byTeam[id];
+        const internal::RecomputedTotals &counted = byTeam[id];
         if (id != team.id || this->document.team(team.name) == nullptr)
-            return internal::corrupt("team " + internal::quoted(team.name) + " has no section");
+            return internal::corrupt("team " + internal::quoted(team.name)
+                                     + " has a wrong ID or no section");
         if (counted.used != team.running || counted.placed != team.placedTasks
             || counted.waiting != team.waitingTasks)
             return internal::corrupt("team " + internal::quoted(team.name)
-                                     + " counts what it runs wrongly");
+                                     + " has wrong totals of its tasks");
     }
     if (byTarget.size() > this->targetTable.size() || byTeam.size() > this->teamTable.size())
-        return internal::corrupt("a task names a target or a team that is not there");
+        return internal::corrupt("a task refers to a target or team that does not exist");
     return boost::outcome_v2::success();
 }
 
--- a/src/state/targetcommands.cpp
+++ b/src/state/targetcommands.cpp
@@ -8,36 +8,38 @@
 
 namespace {
 
-Result<void> checkTexts(const RegisterTarget &command)
+Result<void> checkRegistration(const RegisterTarget &command)
 {
     for (const std::string *text :
          {&command.name, &command.address, &command.failureDomain, &command.rack}) {
-        if (text->size() > longestId)
+        if (text->size() > maxIdBytes)
             return failure(ErrorCode::InvalidArgument,
-                           "a target's names are at most 256 bytes long");
+                           "a target's name, address, failure domain and rack may have at most 256 "
+                           "bytes each");
     }
     if (command.name.empty() || command.address.empty())
         return failure(ErrorCode::InvalidArgument, "a target needs a name and an address");
     if (!command.total.isNonNegative() || !command.total.fitsInto(unlimitedResources()))
         return failure(ErrorCode::InvalidArgument,
                        "target " + quoted(command.name)
-                           + " announces an amount below zero or beyond 2^53");
+                           + " announces a resource amount that is not from 0 to 2^53");
     return boost::outcome_v2::success();
 }
 
-/// The second rule at work: the name comes back only as a process that never saw the old starts.
+/// Ensures that after a lapse the name is reused only by a process that cannot have received start
+/// requests from before it.
 Result<void> checkIncarnation(const RegisterTarget &command, const TargetRecord &known)
 {
     if (command.incarnation < known.incarnation)
         return failure(ErrorCode::Conflict,
                        "target " + quoted(command.name) + " has incarnation "
-                           + std::to_string(known.incarnation) + "; "
-                           + std::to_string(command.incarnation) + " is over");
+                           + std::to_string(known.incarnation) + "; incarnation "
+                           + std::to_string(command.incarnation) + " is outdated");
     if (command.incarnation == known.incarnation && known.lapsed)
         return failure(ErrorCode::Conflict,
                        "the lease of target " + quoted(command.name) + " lapsed in incarnation "
                            + std::to_string(command.incarnation)
-                           + "; it must end its tasks and come back with a higher one");
+                           + "; it must stop its tasks and register with a higher incarnation");
     return boost::outcome_v2::success();
 }
 
@@ -47,24 +49,26 @@
 
 CommandOutcome ClusterState::applyOne(const RegisterTarget &command)
 {
-    if (auto checked = internal::checkTexts(command); checked.has_error())
+    if (auto checked = internal::checkRegistration(command); checked.has_error())
         return checked.error();
     const TargetRecord *known = this->targetNamed(command.name);
     if (known != nullptr) {
         if (auto checked = internal::checkIncarnation(command, *known); checked.has_error())
             return checked.error();
-    } else if (this->targetTable.size() >= internal::mostTargets) {
-        return failure(ErrorCode::LimitExceeded, "there are as many targets as there may be");
+    } else if (this->targetTable.size() >= internal::maxTargets) {
+        return failure(ErrorCode::LimitExceeded,
+                       "the maximum of " + std::to_string(internal::maxTargets)
+                           + " targets is registered");
     }
 
-    const TargetId id = known != nullptr ? known->id : this->nextTarget;
+    const TargetId id = known != nullptr ? known->id : this->nextTargetId;
     if (known == nullptr) {
-        this->nextTarget = static_cast<TargetId>(idValue(id) + 1);
+        this->nextTargetId = static_cast<TargetId>(idValue(id) + 1);
         this->targetsByName[command.name] = id;
     }
     TargetRecord &target = this->targetTable[id];
     if (known != nullptr && command.incarnation > target.incarnation)
-        this->loseAttempts(target, "target " + command.name + " started anew");
+        this->endAttemptsAsLost(target, "target " + command.name + " restarted");
     target.id = id;
     target.name = command.name;
     target.incarnation = command.incarnation;
@@ -85,13 +89,14 @@
     TargetRecord *target = this->findTarget(command.target);
     if (target == nullptr)
         return failure(ErrorCode::NotFound,
-                       "there is no target " + internal::numberOf(command.target));
+                       "there is no target " + internal::idText(command.target));
     if (target->incarnation != command.incarnation)
         return failure(ErrorCode::Conflict,
                        "target " + internal::quoted(target->name) + " has incarnation "
-                           + std::to_string(target->incarnation) + " by now");
+                           + std::to_string(target->incarnation) + ", not "
+                           + std::to_string(command.incarnation));
     target->lapsed = true;
-    this->loseAttempts(*target, "the lease of target " + target->name + " lapsed");
+    this->endAttemptsAsLost(*target, "the lease of target " + target->name + " lapsed");
     return CommandValue(Nothing());
 }
 
@@ -100,11 +105,11 @@
     const TargetRecord *target = this->target(command.target);
     if (target == nullptr)
         return failure(ErrorCode::NotFound,
-                       "there is no target " + internal::numberOf(command.target));
+                       "there is no target " + internal::idText(command.target));
     if (!target->tasks.empty() || target->takesWork())
         return failure(ErrorCode::Conflict,
                        "target " + internal::quoted(target->name)
-                           + " is forgotten only when it takes no work and holds none");
+                           + " can be removed only when it takes no work and has no tasks");
     this->targetsByName.erase(target->name);
     this->targetTable.erase(command.target);
     return CommandValue(Nothing());
@@ -115,7 +120,7 @@
     TargetRecord *target = this->findTarget(command.target);
     if (target == nullptr)
         return failure(ErrorCode::NotFound,
-                       "there is no target " + internal::numberOf(command.target));
+                       "there is no target " + internal::idText(command.target));
     target->draining = command.draining;
     return CommandValue(Nothing());
 }
@@ -127,7 +132,7 @@
         isKnown = isKnown || target.failureDomain == command.failureDomain;
     if (!isKnown)
         return failure(ErrorCode::NotFound,
-                       "no target has announced itself from failure domain "
+                       "no target is registered in failure domain "
                            + internal::quoted(command.failureDomain));
     if (command.evacuated)
         this->evacuated.insert(command.failureDomain);
@@ -140,7 +145,7 @@
     return CommandValue(Nothing());
 }
 
-void ClusterState::loseAttempts(TargetRecord &target, const std::string &reason)
+void ClusterState::endAttemptsAsLost(TargetRecord &target, const std::string &reason)
 {
     const std::vector<TaskId> placed = target.tasks;
     for (const TaskId id : placed) {
--- a/src/state/targetrecord.h
+++ b/src/state/targetrecord.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// A target that has registered.
+/// A registered target.
 struct TargetRecord
 {
     TargetId id = TargetId::None;
@@ -18,12 +18,12 @@
     std::string failureDomain;
     std::string rack;
     Resources total;
-    Resources used; ///< by what is placed there
-    bool departing = false; ///< its own word
-    bool draining = false; ///< an operator's word
-    bool evacuated = false; ///< its failure domain is; found again from the evacuated domains
-    bool lapsed = false; ///< its lease is over; it must come back with a new incarnation
-    std::vector<TaskId> tasks; ///< placed there, ascending
+    Resources used; ///< by the tasks placed there
+    bool departing = false; ///< set by the target itself
+    bool draining = false; ///< set by an operator
+    bool evacuated = false; ///< its failure domain is evacuated; derived, not in a snapshot
+    bool lapsed = false; ///< its lease has lapsed; it must register with a higher incarnation
+    std::vector<TaskId> tasks; ///< placed there, in ascending order
 
     bool takesWork() const
     {
--- a/src/state/taskrecord.h
+++ b/src/state/taskrecord.h
@@ -9,14 +9,14 @@
 
 namespace guavavalve {
 
-/// What is kept of a task while its job is known.
+/// The state of a task. Exists as long as its job record.
 struct TaskRecord
 {
     TaskState state = TaskState::Waiting;
-    Ran ran = Ran::No; ///< whether an attempt that is over may have begun
-    AttemptNumber attempt = 0; ///< the last one placed; 0: none yet
+    Ran ran = Ran::No; ///< whether a finished attempt may have started
+    AttemptNumber attempt = 0; ///< number of the last placed attempt; 0: none yet
     TargetId target = TargetId::None; ///< of the last attempt
-    InstanceId dispatcher; ///< the entry that follows the attempt; empty unless placed
+    InstanceId dispatcher; ///< the entry instance that handles the attempt; empty unless placed
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/teamrecord.h
+++ b/src/state/teamrecord.h
@@ -8,12 +8,12 @@
 
 namespace guavavalve {
 
-/// A team and what it has at the moment. Its policy is in the configuration.
+/// A team and its current use of the cell. Its policy is in the configuration.
 struct TeamRecord
 {
     TeamId id = TeamId::None;
     std::string name;
-    Resources running; ///< held by its placed tasks
+    Resources running; ///< resources held by its placed tasks
     std::uint32_t placedTasks = 0;
     std::uint32_t waitingTasks = 0;
 
--- a/src/state/teamsection.h
+++ b/src/state/teamsection.h
@@ -10,22 +10,23 @@
 
 namespace guavavalve {
 
-/// What a team asks for its work of one class; never more than the cell allows.
+/// A team's policy for one work class, within the bounds of the cell's policy.
 struct TeamClassPolicy
 {
     bool enabled = true;
-    std::int64_t maxRunTimeMs = 0; ///< 0: as the cell says
-    std::int64_t startWithinMs = 0; ///< for requests that name none; 0: as the cell says
+    std::int64_t maxRunTimeMs = 0; ///< 0: the cell's value
+    std::int64_t startWithinMs = 0; ///< default for requests that set none; 0: the cell's value
 };
 
-/// The section "team.NAME", owned by that team; the operators' fields are share and limit.
+/// A team's policy: the configuration section "team.NAME", owned by the team. Only operators may
+/// change share and limit.
 struct TeamSection
 {
     std::string description;
     std::string contact;
-    std::int64_t share = 100; ///< weight against other teams when the cell is full
-    Resources limit = unlimitedResources(); ///< the most it may have running
-    std::int64_t maxWaitingTasks = 0; ///< 0: as the cell says
+    std::int64_t share = 100; ///< weight relative to other teams when the cell is full
+    Resources limit = unlimitedResources(); ///< upper limit on the resources of its running tasks
+    std::int64_t maxWaitingTasks = 0; ///< 0: the cell's value; the cell's bound applies in any case
     std::array<TeamClassPolicy, workClassCount> classes;
 
     const TeamClassPolicy &classPolicy(WorkClass workClass) const
--- a/test/state/boundstest.cpp
+++ b/test/state/boundstest.cpp
@@ -4,13 +4,13 @@
 
 using namespace guavavalve;
 
-TEST_CASE("kept results of requests are bounded and the oldest are released", "[state]")
+TEST_CASE("the request log is bounded and evicts the oldest results", "[state]")
 {
     RequestLog log;
     for (std::size_t i = 0; i < RequestLog::capacity + 10; ++i) {
         RequestLog::Entry entry;
         entry.digest = i;
-        log.keep(std::to_string(i), entry);
+        log.add(std::to_string(i), entry);
     }
     CHECK(log.size() == RequestLog::capacity);
     CHECK(log.find("9") == nullptr);
@@ -18,9 +18,10 @@
     CHECK(log.find("10")->digest == 10);
 }
 
-// An entry is away while more keys are withdrawn than the state remembers. If it were sent only
-// the changes that are left, a key whose record has been released would work there for ever.
-TEST_CASE("an entry that is behind released keys is sent everything", "[state]")
+// An entry instance is offline while more keys are withdrawn than the state keeps records of. If it
+// were sent only the remaining changes, a key whose record has been released would stay valid
+// there.
+TEST_CASE("an entry that missed a released withdrawal receives the full configuration", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.grant("old", "mill", KeyRole::Team).has_value());
@@ -36,14 +37,14 @@
     const Configuration &configuration = fixture.state.configuration();
     CHECK(configuration.key("old") == nullptr);
     const ConfigurationChanges changes = configuration.changesSince(view.version());
-    CHECK(changes.whole);
+    CHECK(changes.isFull);
     REQUIRE(view.applyChanges(changes).has_value());
     CHECK(view.key("old") == nullptr);
     CHECK(view.key("mill-key") != nullptr);
-    CHECK_FALSE(configuration.changesSince(view.version() - 1).whole);
+    CHECK_FALSE(configuration.changesSince(view.version() - 1).isFull);
 }
 
-TEST_CASE("a section's history is bounded in bytes and keeps what is in force", "[state]")
+TEST_CASE("a section's history is bounded in bytes and keeps the version in force", "[state]")
 {
     StateFixture fixture;
     const std::string padding(60000, ' ');
@@ -56,9 +57,9 @@
           == ErrorCode::InvalidArgument);
 }
 
-// Someone sends sections that consist of faults, over and over. Each refusal is kept for its
-// resend, so without bounds the state would grow by what is wrong with them until it is killed.
-TEST_CASE("what is kept of a refused request is bounded", "[state]")
+// A client repeatedly sends invalid sections. Each rejection is stored in case the request is
+// resent, so without bounds the error messages would fill the memory.
+TEST_CASE("the stored result of a rejected request is bounded", "[state]")
 {
     StateFixture fixture;
     std::string content = "{";
--- a/test/state/configurationtest.cpp
+++ b/test/state/configurationtest.cpp
@@ -20,9 +20,10 @@
 
 } // namespace
 
-// Two operators read version 1 of a section and both write over it. The second must not undo the
-// first one's change unseen: it is told who won and what differs.
-TEST_CASE("of two operators with the same number one wins and the other is told who", "[state]")
+// Two operators read version 1 of a section and both replace it. The second write must not silently
+// undo the first: it fails, and its error names the other key and what it changed.
+TEST_CASE("of two writes with the same base version the second fails and names the first",
+          "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.grant("root2", "", KeyRole::Operator).has_value());
@@ -35,14 +36,14 @@
     CHECK(fixture.state.configuration().team("mill")->limit[ResourceKind::Slots] == 9);
 }
 
-// The answer to an operator's write is lost and the tool sends it again. Without the kept result
-// the operator would be told that somebody else had won, when it was itself.
-TEST_CASE("a resent operator request returns the first result and does nothing twice", "[state]")
+// The answer to an operator's write is lost and the tool resends it. Without the recorded result,
+// the resend would fail with a version conflict that the first write had caused itself.
+TEST_CASE("a resent operator request returns the first result and is not applied twice", "[state]")
 {
     StateFixture fixture;
     WriteSection write = fixture.sectionWrite("team.mill", 1, R"({"share": 7})");
     const auto first = changedBy(fixture.state.apply(write));
-    write.writtenAt = 99; // proposed again, later
+    write.writtenAt = 99; // the resend is proposed later
     const auto again = changedBy(fixture.state.apply(write));
     CHECK(again.sectionVersion == first.sectionVersion);
     CHECK(fixture.state.configuration().section("team.mill")->current().version == 2);
@@ -50,14 +51,14 @@
     const auto other = fixture.state.apply(write);
     CHECK(codeOf(other) == ErrorCode::Conflict);
     CHECK(contains(other.error().message, "write of section \"team.mill\" with key \"root\""));
-    // A copy restored from a snapshot remembers it too.
+    // A replica restored from a snapshot has the recorded result too.
     ClusterState copy(3);
     REQUIRE(copy.restore(fixture.state.snapshot()).has_value());
     write.content = R"({"share": 7})";
     CHECK(changedBy(copy.apply(write)).sectionVersion == first.sectionVersion);
 }
 
-TEST_CASE("a team writes its own section but for share and limit", "[state]")
+TEST_CASE("a team may write its own section except share and limit", "[state]")
 {
     StateFixture fixture;
     const std::string same = R"({"share": 100, "limit": {"slots": 6}, "contact": "office"})";
@@ -74,7 +75,7 @@
     CHECK(codeOf(fixture.write("team.mill", 2, same, "mill-key")) == ErrorCode::Unauthenticated);
 }
 
-TEST_CASE("a write is checked against the whole document and all problems are told", "[state]")
+TEST_CASE("a write is checked against the whole document and all problems are reported", "[state]")
 {
     StateFixture fixture;
     const auto bad = fixture.write(
@@ -87,7 +88,7 @@
     CHECK(contains(more.error().message, "team.mill: limit.slots: found \"six\""));
     CHECK(contains(more.error().message, "team.mill: colour: found an unknown name"));
 
-    // The cell may not be put at odds with a team's section, nor a team's with the cell.
+    // Neither a write of the cell's section nor of a team's may make the two inconsistent.
     CHECK(codeOf(fixture.write("cell", 1, R"({"maxTeamLimit": {"slots": 5}})"))
           == ErrorCode::InvalidArgument);
     REQUIRE(fixture.write("cell", 1, R"({"totalShares": 250})").has_value());
@@ -103,7 +104,7 @@
     CHECK(codeOf(fixture.write("elsewhere", 0, "{}")) == ErrorCode::InvalidArgument);
 }
 
-TEST_CASE("a preview tells what would change and changes nothing", "[state]")
+TEST_CASE("a preview reports what would change and changes nothing", "[state]")
 {
     StateFixture fixture;
     const std::string before = fixture.state.snapshot();
@@ -122,7 +123,7 @@
     CHECK(fixture.state.snapshot() == before);
 }
 
-TEST_CASE("keys are granted for a team that exists and the last operator key stays", "[state]")
+TEST_CASE("keys are granted only for existing teams and the last operator key stays", "[state]")
 {
     StateFixture fixture;
     CHECK(codeOf(fixture.grant("k", "nobody", KeyRole::Team)) == ErrorCode::NotFound);
@@ -134,9 +135,9 @@
     CHECK(codeOf(fixture.grant("root", "", KeyRole::Operator)) == ErrorCode::Conflict);
 }
 
-// An entry asks a lagging replica, or an old answer arrives late. If it took the older copy, a
-// withdrawn key would work again.
-TEST_CASE("an entry's configuration gets only what differs and never goes back", "[state]")
+// An entry instance asks a lagging replica, or receives a delayed answer. If it applied the older
+// version, a withdrawn key would become valid again.
+TEST_CASE("an entry's configuration receives only changes and never goes backwards", "[state]")
 {
     StateFixture fixture;
     ConfigurationView view;
@@ -167,9 +168,9 @@
           == view.version());
 }
 
-// A replica restarts after 500 changes and takes a snapshot. Nothing it says may be older than
-// what was in force.
-TEST_CASE("the document's version outlives a snapshot and its history is bounded", "[state]")
+// A replica is restored from a snapshot after 500 changes. The versions that it reports must not be
+// older than those in force before.
+TEST_CASE("the document's version survives a restore and its history is bounded", "[state]")
 {
     StateFixture fixture;
     for (std::uint64_t base = 1; base <= 500; ++base)
@@ -184,10 +185,10 @@
     CHECK(copy.configuration().team("mill")->share == 500);
 }
 
-// An entry was away while a share moved from one team to another under a fixed total. Read one
-// after the other, the sections would seem to pass the total in between, and the entry would
-// refuse a good configuration for ever.
-TEST_CASE("an entry takes over several changes that only hold together", "[state]")
+// An entry instance is offline while a share moves from one team to another under a fixed total. If
+// the sections were validated one by one, the sum could exceed the total in between, and the entry
+// would reject a valid configuration on every attempt.
+TEST_CASE("an entry accepts changes that are valid only together", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.write("cell", 1, R"({"totalShares": 200})").has_value());
@@ -208,10 +209,10 @@
     CHECK(view.team("mill")->share == 150);
 }
 
-// An operator lowers the targets' lease and the controller dies. Its successor must still wait
-// for the old lease: a target that was given it runs its tasks until then, and they would run
-// twice.
-TEST_CASE("a lowered lease is still counted by a new controller", "[state]")
+// An operator lowers the targets' lease and the controller fails. Its successor must still wait for
+// the old, longer lease: a target that holds it runs its tasks until then, and placing them
+// elsewhere earlier would run them twice.
+TEST_CASE("a replaced longer lease still counts as the longest target lease", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.write("cell", 1, R"({"targetLeaseMs": 10000})").has_value());
--- a/test/state/evacuationtest.cpp
+++ b/test/state/evacuationtest.cpp
@@ -2,7 +2,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("an evacuated failure domain takes no placement, also of work accepted before", "[state]")
+TEST_CASE("no task is placed in an evacuated failure domain, even if accepted before", "[state]")
 {
     StateFixture fixture;
     const TaskId task = fixture.accept(fixture.job("order-1"));
@@ -12,7 +12,7 @@
     CHECK(fixture.place(task, 1).has_value());
 }
 
-TEST_CASE("an evacuation holds for targets that come later, and after a restart", "[state]")
+TEST_CASE("an evacuation applies to targets that register later and survives a restore", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.state.apply(SetDomainEvacuated{"regina", true}).has_value());
--- a/test/state/fuzztest.cpp
+++ b/test/state/fuzztest.cpp
@@ -13,7 +13,7 @@
 
 constexpr int rounds = 10000;
 
-/// \a bytes with one to three bytes changed, and sometimes cut.
+/// Overwrites one to three random bytes and sometimes truncates the result.
 std::string damage(std::string bytes, std::mt19937 &random)
 {
     const unsigned changes = 1 + random() % 3;
@@ -24,8 +24,8 @@
     return bytes;
 }
 
-/// A state in which something has happened.
-ClusterState usedState()
+/// A state with jobs that are waiting, placed and finished.
+ClusterState populatedState()
 {
     StateFixture fixture;
     REQUIRE(fixture.registerTarget("t2", 1).has_value());
@@ -81,12 +81,13 @@
 
 } // namespace
 
-TEST_CASE("no damaged command stops the decoder or upsets the state", "[state][fuzz]")
+TEST_CASE("damaged command batches neither crash the decoder nor corrupt the state",
+          "[state][fuzz]")
 {
     const unsigned seed = 20261204;
     INFO("seed " << seed);
     std::mt19937 random(seed);
-    const ClusterState before = usedState();
+    const ClusterState before = populatedState();
     const std::string bytes = encodeBatch(allCommands(before)).value();
     int refused = 0;
     int applied = 0;
@@ -100,21 +101,21 @@
         ClusterState state = before;
         for (const CommandOutcome &outcome : state.apply(batch.value()))
             applied += outcome.has_value() ? 1 : 0;
-        REQUIRE(state.recount().has_value());
+        REQUIRE(state.verifyCounts().has_value());
     }
     CHECK(refused > rounds / 10);
     CHECK(applied > rounds / 10);
 }
 
-// A snapshot arrives damaged, once as the disk or network would damage it and once with a
-// checksum that fits. The first must always be refused and leave the state alone; the second may
-// be taken only if all its counts agree.
-TEST_CASE("no damaged snapshot is taken by halves", "[state][fuzz]")
+// Restores a damaged snapshot, once with the original checksum, as after a disk or network fault,
+// and once with a matching one. The first must be rejected and leave the state unchanged; the
+// second may be restored only if all its totals agree.
+TEST_CASE("a damaged snapshot is never partially restored", "[state][fuzz]")
 {
     const unsigned seed = 20261205;
     INFO("seed " << seed);
     std::mt19937 random(seed);
-    const std::string snapshot = usedState().snapshot();
+    const std::string snapshot = populatedState().snapshot();
     ClusterState state(3);
     const std::string empty = state.snapshot();
     int taken = 0;
@@ -128,7 +129,7 @@
         ClusterState other(3);
         if (other.restore(withChecksum(damaged)).has_value()) {
             ++taken;
-            REQUIRE(other.recount().has_value());
+            REQUIRE(other.verifyCounts().has_value());
         }
     }
     CHECK(state.snapshot() == empty);
--- a/test/state/jobstest.cpp
+++ b/test/state/jobstest.cpp
@@ -2,7 +2,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("a job goes from acceptance over its place to its answer", "[state]")
+TEST_CASE("a job is accepted, placed and finished", "[state]")
 {
     StateFixture fixture;
     const TaskId task = fixture.accept(fixture.job("order-1"));
@@ -15,12 +15,12 @@
     CHECK(fixture.ranOf(task) == Ran::Yes);
     CHECK(fixture.state.jobOf(task)->payload.empty());
     CHECK(fixture.state.target(fixture.targetId())->used == Resources());
-    CHECK(fixture.state.recount().has_value());
+    CHECK(fixture.state.verifyCounts().has_value());
 }
 
-// A caller's answer is lost and it sends its order again. It must join the first job; a second
-// shipment of rod would leave the mill otherwise. The same key on another order is told so.
-TEST_CASE("an idempotency key joins the first job and refuses another request", "[state]")
+// A caller loses the answer to its order and resends it. The resend must join the first job, or the
+// order would be shipped twice. Another request with the same key is rejected.
+TEST_CASE("a resend joins the first job and another request with its key is rejected", "[state]")
 {
     StateFixture fixture;
     const AcceptJob first = fixture.job("order-1");
@@ -33,13 +33,13 @@
     again.digest = "another";
     CHECK(codeOf(fixture.state.apply(again)) == ErrorCode::Conflict);
     CHECK(fixture.state.jobs().size() == 1);
-    // Another team's same key is its own.
+    // The same idempotency key of another team is independent.
     CHECK(fixture.state.apply(fixture.job("order-1", "tours")).has_value());
 }
 
-// An operator withdraws a key while its holder still submits: nothing more is taken, and what was
-// taken before runs on.
-TEST_CASE("work is accepted only with a key of its own team that is not withdrawn", "[state]")
+// An operator withdraws a key while its holder still submits jobs: further jobs are rejected, and
+// those accepted before continue.
+TEST_CASE("a job is accepted only with a key of its own team that is not withdrawn", "[state]")
 {
     StateFixture fixture;
     AcceptJob foreign = fixture.job("a");
@@ -52,9 +52,10 @@
     CHECK(fixture.state.configuration().key("mill-key")->keyedHash.empty());
 }
 
-// A target's process is killed while it holds a confirmation and a schedule build. The build is
-// run again; the confirmation may have happened, so its caller must hear "unknown", never "no".
-TEST_CASE("a new incarnation frees repeatable work and ends the rest as unknown", "[state]")
+// A target's process is killed while it runs a schedule build and an unrepeatable confirmation. The
+// build runs again; the confirmation may have happened, so it must end as unknown, never as not
+// run.
+TEST_CASE("a new incarnation requeues repeatable tasks and ends others as unknown", "[state]")
 {
     StateFixture fixture;
     const TaskId build = fixture.accept(fixture.job("build"));
@@ -70,13 +71,14 @@
     CHECK(codeOf(fixture.place(build, 1)) == ErrorCode::Conflict);
     CHECK(fixture.place(build, 2).has_value());
     CHECK(codeOf(fixture.registerTarget("t1", 1)) == ErrorCode::Conflict);
-    CHECK(fixture.state.recount().has_value());
+    CHECK(fixture.state.verifyCounts().has_value());
 }
 
-// A target is cut off, its lease lapses, and it comes back as if nothing had been. An entry that
-// was frozen meanwhile wakes and sends its old start. If the target kept its incarnation it would
-// obey, and the task, placed elsewhere by now, would run twice.
-TEST_CASE("a target whose lease lapsed comes back only with a new incarnation", "[state]")
+// A target is partitioned, its lease lapses, and it reconnects. An entry instance that was
+// suspended in the meantime sends a start request from before the lapse. If the target kept its
+// incarnation, it would start the task, which by now is placed elsewhere, and the task would run
+// twice.
+TEST_CASE("a target whose lease lapsed can register only with a new incarnation", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.registerTarget("t2", 1).has_value());
@@ -95,9 +97,10 @@
     CHECK(codeOf(fixture.state.apply(lapse)) == ErrorCode::Conflict);
 }
 
-// An entry has a confirmation's whole answer, and is cut off before it can report it. Meanwhile
-// the target's lease lapses and the task counts as unknown. The report, when it comes, counts.
-TEST_CASE("an answer that arrives after the lease lapsed is taken once", "[state]")
+// An entry instance receives the complete answer of a confirmation but is partitioned before it can
+// report it. Meanwhile the target's lease lapses and the task ends as unknown. The late report must
+// still be recorded.
+TEST_CASE("an answer that arrives after the lease lapsed is recorded once", "[state]")
 {
     StateFixture fixture;
     AcceptJob once = fixture.job("confirmation");
@@ -116,10 +119,10 @@
     CHECK(fixture.stateOf(build) == TaskState::Succeeded);
     CHECK(fixture.end(build, 1, AttemptOutcome::Succeeded).has_value());
     CHECK(codeOf(fixture.end(build, 1, AttemptOutcome::Failed)) == ErrorCode::Conflict);
-    CHECK(fixture.state.recount().has_value());
+    CHECK(fixture.state.verifyCounts().has_value());
 }
 
-TEST_CASE("a late answer does not revive what was cancelled meanwhile", "[state]")
+TEST_CASE("a late answer does not revive a task that was cancelled meanwhile", "[state]")
 {
     StateFixture fixture;
     const TaskId task = fixture.accept(fixture.job("build"));
@@ -133,7 +136,7 @@
     CHECK(fixture.ranOf(task) == Ran::Unknown);
 }
 
-TEST_CASE("an attempt that never started leaves even unrepeatable work free", "[state]")
+TEST_CASE("an unrepeatable task is placed again if its attempt never started", "[state]")
 {
     StateFixture fixture;
     AcceptJob once = fixture.job("confirmation");
@@ -149,7 +152,7 @@
     CHECK(fixture.ranOf(task) == Ran::Yes);
 }
 
-TEST_CASE("nothing is placed beyond a target's room or a team's limit", "[state]")
+TEST_CASE("no task is placed beyond a target's resources or a team's limit", "[state]")
 {
     StateFixture fixture;
     AcceptJob job = fixture.job("many");
@@ -162,14 +165,14 @@
     AcceptJob wide = fixture.job("wide", "tours");
     wide.need = Resources{{1000, 1024, 0, 3, 1}};
     CHECK(codeOf(fixture.place(fixture.accept(wide), 1)) == ErrorCode::LimitExceeded);
-    // A limit lowered below what runs stops nothing that runs and lets nothing more in.
+    // Lowering a limit below what is running stops no running task and allows no further placement.
     REQUIRE(fixture.write("team.mill", 1, R"({"limit": {"slots": 2}})").has_value());
     REQUIRE(fixture.end(first, 1, AttemptOutcome::Succeeded).has_value());
     CHECK(codeOf(fixture.place(seventh, 1)) == ErrorCode::LimitExceeded);
     CHECK(fixture.state.team(job.team)->placedTasks == 5);
 }
 
-TEST_CASE("a gang is placed whole or not at all", "[state]")
+TEST_CASE("a gang is placed completely or not at all", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.registerTarget("t2", 1).has_value());
@@ -192,10 +195,10 @@
     CHECK(codeOf(fixture.state.apply(gang)) == ErrorCode::InvalidArgument);
     gang.places.back() = fixture.placement(third, 1, "t2");
     CHECK(fixture.state.apply(gang).has_value());
-    CHECK(fixture.state.recount().has_value());
+    CHECK(fixture.state.verifyCounts().has_value());
 }
 
-TEST_CASE("a cancelled job ends its waiting tasks at once and placed ones when they are over",
+TEST_CASE("cancelling a job ends waiting tasks at once and placed ones with their attempts",
           "[state]")
 {
     StateFixture fixture;
@@ -223,7 +226,7 @@
     CHECK(fixture.state.jobByIdempotencyKey(job.team, "two") == nullptr);
 }
 
-TEST_CASE("a job refused after its acceptance says why and that it has not run", "[state]")
+TEST_CASE("a job refused after its acceptance records why and that it has not run", "[state]")
 {
     StateFixture fixture;
     const TaskId task = fixture.accept(fixture.job("late"));
@@ -237,9 +240,9 @@
     CHECK(codeOf(fixture.state.apply(refuse)) == ErrorCode::Conflict);
 }
 
-// A controller that has been deposed without knowing it proposes a job under an identity that
-// its successor has given away. Taken, it would overwrite the other job.
-TEST_CASE("an identity that is taken is refused and a gap is harmless", "[state]")
+// A controller that does not yet know that it has been deposed proposes a job with an ID that its
+// successor has already assigned. If this were accepted, it would overwrite the other job.
+TEST_CASE("a job ID that is in use is rejected and a gap is allowed", "[state]")
 {
     StateFixture fixture;
     const AcceptJob stale = fixture.job("stale");
--- a/test/state/lossestest.cpp
+++ b/test/state/lossestest.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr AttemptNumber mostLost = 5;
+constexpr AttemptNumber maxLostAttempts = 5;
 
-/// Places the task on "t1", which starts anew.
+/// Places the task on "t1", which then restarts.
 void loseTarget(StateFixture &f, TaskId task, AttemptNumber attempt)
 {
     REQUIRE(f.place(task, attempt).has_value());
@@ -15,40 +15,40 @@
 
 } // namespace
 
-TEST_CASE("a task that takes down each target that starts it is given up", "[losses]")
+TEST_CASE("a task that loses every target that starts it fails after five attempts", "[losses]")
 {
     StateFixture f;
     const TaskId task = f.accept(f.job("k"));
-    for (AttemptNumber attempt = 1; attempt < mostLost; ++attempt) {
+    for (AttemptNumber attempt = 1; attempt < maxLostAttempts; ++attempt) {
         loseTarget(f, task, attempt);
         CHECK(f.stateOf(task) == TaskState::Waiting);
     }
-    loseTarget(f, task, mostLost);
+    loseTarget(f, task, maxLostAttempts);
     CHECK(f.stateOf(task) == TaskState::Failed);
     CHECK(f.ranOf(task) == Ran::Unknown);
     CHECK(f.state.jobOf(task)->end(task)->message.find("given up") == 0);
-    CHECK(f.state.recount().has_value());
+    CHECK(f.state.verifyCounts().has_value());
 }
 
 TEST_CASE("lost attempts are counted across a snapshot", "[losses]")
 {
     StateFixture f;
     const TaskId task = f.accept(f.job("k"));
-    for (AttemptNumber attempt = 1; attempt < mostLost; ++attempt)
+    for (AttemptNumber attempt = 1; attempt < maxLostAttempts; ++attempt)
         loseTarget(f, task, attempt);
     const std::string snapshot = f.state.snapshot();
     REQUIRE(f.state.restore(snapshot).has_value());
-    loseTarget(f, task, mostLost);
+    loseTarget(f, task, maxLostAttempts);
     CHECK(f.stateOf(task) == TaskState::Failed);
 }
 
-TEST_CASE("a service that loses its targets is started again for ever", "[losses]")
+TEST_CASE("a service is placed again however often it loses its target", "[losses]")
 {
     StateFixture f;
     AcceptJob service = f.job("k");
     service.workClass = WorkClass::Service;
     const TaskId task = f.accept(service);
-    for (AttemptNumber attempt = 1; attempt <= 2 * mostLost; ++attempt)
+    for (AttemptNumber attempt = 1; attempt <= 2 * maxLostAttempts; ++attempt)
         loseTarget(f, task, attempt);
     CHECK(f.stateOf(task) == TaskState::Waiting);
 }
--- a/test/state/propertytest.cpp
+++ b/test/state/propertytest.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Proposes random commands, many of them wrong on purpose, and keeps a count of its own of what
-/// must hold: from the commands that were accepted, and not from the state.
-class RandomOperator
+/// Proposes random commands, many of them deliberately invalid. Checks the invariants against its
+/// own model, which follows the accepted commands and not the state under test.
+class RandomProposer
 {
 public:
-    explicit RandomOperator(unsigned seed)
+    explicit RandomProposer(unsigned seed)
         : random(seed)
     {}
 
@@ -30,8 +30,8 @@
         const auto bytes = encodeBatch(batch);
         REQUIRE(bytes.has_value());
         const auto outcomes = this->state().apply(decodeBatch(bytes.value()).value());
-        const auto copied = this->copy.apply(decodeBatch(bytes.value()).value());
-        REQUIRE(encodeOutcomes(outcomes) == encodeOutcomes(copied));
+        const auto replicated = this->replica.apply(decodeBatch(bytes.value()).value());
+        REQUIRE(encodeOutcomes(outcomes) == encodeOutcomes(replicated));
         const auto decoded = decodeOutcomes(encodeOutcomes(outcomes));
         REQUIRE(decoded.value().front().has_value() == outcomes.front().has_value());
         if (outcomes.front().has_value()) {
@@ -41,17 +41,18 @@
         REQUIRE(this->state().configuration().version() >= versionBefore);
     }
 
-    /// The copy follows the same log from the same start.
+    /// Checks the totals, and that the replica, which applied the same log, has the same snapshot.
+    /// Then replaces the replica with one restored from that snapshot.
     void check()
     {
-        const auto counted = this->state().recount();
+        const auto counted = this->state().verifyCounts();
         REQUIRE(counted.has_value());
         const std::string snapshot = this->state().snapshot();
-        REQUIRE(snapshot == this->copy.snapshot());
+        REQUIRE(snapshot == this->replica.snapshot());
         ClusterState restored(3);
         REQUIRE(restored.restore(snapshot).has_value());
         REQUIRE(restored.snapshot() == snapshot);
-        this->copy = std::move(restored);
+        this->replica = std::move(restored);
     }
 
     ClusterState &state() { return this->fixture.state; }
@@ -60,21 +61,22 @@
     int placed = 0;
 
 private:
-    unsigned below(unsigned bound) { return this->random() % bound; }
+    unsigned randomBelow(unsigned bound) { return this->random() % bound; }
 
-    std::string targetName() { return "t" + std::to_string(this->below(4)); }
+    std::string targetName() { return "t" + std::to_string(this->randomBelow(4)); }
 
     TaskId someTask()
     {
-        if (this->known.empty())
+        if (this->knownTasks.empty())
             return TaskId::None;
-        // Mostly one of the latest: the others have mostly finished.
-        const auto count = static_cast<unsigned>(this->known.size());
-        const unsigned back = this->below(this->below(8) == 0 ? count : std::min(count, 40U));
-        return this->known[count - 1 - back];
+        // Prefers recent tasks, since most older ones have finished.
+        const auto count = static_cast<unsigned>(this->knownTasks.size());
+        const unsigned back =
+            this->randomBelow(this->randomBelow(8) == 0 ? count : std::min(count, 40U));
+        return this->knownTasks[count - 1 - back];
     }
 
-    /// A task in \a wanted state if a few tries find one, otherwise any.
+    /// A random task in state \a wanted if a few tries find one, otherwise any task.
     TaskId taskIn(TaskState wanted)
     {
         TaskId task = this->someTask();
@@ -89,9 +91,9 @@
 
     Command next()
     {
-        switch (this->below(16)) {
+        switch (this->randomBelow(16)) {
         case 0:
-            return this->below(2) == 0 ? this->randomRegistration() : this->randomLapse();
+            return this->randomBelow(2) == 0 ? this->randomRegistration() : this->randomLapse();
         case 1:
             return this->randomRegistration();
         case 2:
@@ -119,9 +121,10 @@
         const std::string name = this->targetName();
         const TargetRecord *known = this->state().targetNamed(name);
         RegisterTarget command = StateFixture::registration(
-            name, (known == nullptr ? 0 : known->incarnation) + (this->below(4) == 0 ? 1 : 0));
-        command.total[ResourceKind::Slots] = 2 + this->below(8);
-        command.departing = this->below(10) == 0;
+            name,
+            (known == nullptr ? 0 : known->incarnation) + (this->randomBelow(4) == 0 ? 1 : 0));
+        command.total[ResourceKind::Slots] = 2 + this->randomBelow(8);
+        command.departing = this->randomBelow(10) == 0;
         return command;
     }
 
@@ -130,36 +133,36 @@
         const TargetRecord *known = this->state().targetNamed(this->targetName());
         LapseTarget command;
         command.target = known == nullptr ? TargetId::None : known->id;
-        command.incarnation = known == nullptr ? 0 : known->incarnation - this->below(2);
-        if (this->below(3) != 0)
+        command.incarnation = known == nullptr ? 0 : known->incarnation - this->randomBelow(2);
+        if (this->randomBelow(3) != 0)
             return command;
         SetTargetDraining drain;
         drain.target = command.target;
-        drain.draining = this->below(4) == 0;
+        drain.draining = this->randomBelow(4) == 0;
         return drain;
     }
 
     Command randomWrite()
     {
-        const std::string team = this->below(2) == 0 ? "mill" : "tours";
+        const std::string team = this->randomBelow(2) == 0 ? "mill" : "tours";
         const Section &section = *this->state().configuration().section("team." + team);
-        const std::string slots = std::to_string(4 + this->below(16));
+        const std::string slots = std::to_string(4 + this->randomBelow(16));
         return this->fixture.sectionWrite("team." + team,
-                                          section.current().version - this->below(2),
+                                          section.current().version - this->randomBelow(2),
                                           R"({"limit": {"slots": )" + slots + "}}");
     }
 
     Command randomJob()
     {
-        AcceptJob job = this->fixture.job("key-" + std::to_string(this->below(4000)),
-                                          this->below(2) == 0 ? "mill" : "tours");
-        job.digest = "digest-" + std::to_string(this->below(3));
-        job.repeatable = this->below(2) == 0;
-        job.tasks = 1 + this->below(3);
-        job.workClass = this->below(3) == 0 ? WorkClass::Gang : WorkClass::Batch;
-        job.need[ResourceKind::Slots] = 1 + this->below(3);
-        if (this->below(20) == 0)
-            job.first = static_cast<JobId>(idValue(job.first) - this->below(3));
+        AcceptJob job = this->fixture.job("key-" + std::to_string(this->randomBelow(4000)),
+                                          this->randomBelow(2) == 0 ? "mill" : "tours");
+        job.digest = "digest-" + std::to_string(this->randomBelow(3));
+        job.repeatable = this->randomBelow(2) == 0;
+        job.tasks = 1 + this->randomBelow(3);
+        job.workClass = this->randomBelow(3) == 0 ? WorkClass::Gang : WorkClass::Batch;
+        job.need[ResourceKind::Slots] = 1 + this->randomBelow(3);
+        if (this->randomBelow(20) == 0)
+            job.first = static_cast<JobId>(idValue(job.first) - this->randomBelow(3));
         return job;
     }
 
@@ -169,10 +172,11 @@
         const TargetRecord *target = this->state().targetNamed(this->targetName());
         PlaceTask place;
         place.task = task;
-        place.attempt = (record == nullptr ? 0 : record->attempt) + (this->below(8) != 0 ? 1 : 0);
+        place.attempt =
+            (record == nullptr ? 0 : record->attempt) + (this->randomBelow(8) != 0 ? 1 : 0);
         place.target = target == nullptr ? TargetId::None : target->id;
         place.incarnation =
-            target == nullptr ? 0 : target->incarnation - (this->below(8) == 0 ? 1 : 0);
+            target == nullptr ? 0 : target->incarnation - (this->randomBelow(8) == 0 ? 1 : 0);
         return place;
     }
 
@@ -189,7 +193,7 @@
     {
         const JobRecord *job = this->state().jobOf(this->someTask());
         const JobId id = job == nullptr ? JobId::None : job->id;
-        switch (this->below(3)) {
+        switch (this->randomBelow(3)) {
         case 0: {
             CancelJob cancel;
             cancel.job = id;
@@ -213,8 +217,8 @@
         EndAttempt end;
         end.task = this->taskIn(TaskState::Placed);
         const TaskRecord *record = this->state().task(end.task);
-        end.attempt = record == nullptr ? 1 : record->attempt - (this->below(8) == 0 ? 1 : 0);
-        end.outcome = static_cast<AttemptOutcome>(this->below(5));
+        end.attempt = record == nullptr ? 1 : record->attempt - (this->randomBelow(8) == 0 ? 1 : 0);
+        end.outcome = static_cast<AttemptOutcome>(this->randomBelow(5));
         return end;
     }
 
@@ -227,23 +231,23 @@
         if (job->id != command.first)
             return;
         for (std::uint32_t i = 0; i < command.tasks; ++i)
-            this->known.push_back(job->taskId(i));
+            this->knownTasks.push_back(job->taskId(i));
     }
 
     void observe(const PlaceTask &place)
     {
         ++this->placed;
-        // No task in two places.
-        REQUIRE(this->open.emplace(place.task, place.target).second);
+        // No task is placed twice at the same time.
+        REQUIRE(this->openPlacements.emplace(place.task, place.target).second);
         const JobRecord &job = *this->state().jobOf(place.task);
-        // What is not repeatable never runs again once it may have begun.
+        // An unrepeatable task is never placed again once it may have started.
         if (!job.repeatable)
-            REQUIRE(this->begun.insert(place.task).second);
+            REQUIRE(this->mayHaveStarted.insert(place.task).second);
         const TargetRecord &target = *this->state().target(place.target);
         REQUIRE(target.incarnation == place.incarnation);
         Resources onTarget;
         Resources byTeam;
-        for (const auto &[task, where] : this->open) {
+        for (const auto &[task, where] : this->openPlacements) {
             const JobRecord &other = *this->state().jobOf(task);
             if (where == place.target)
                 onTarget += other.need;
@@ -262,9 +266,9 @@
 
     void observe(const EndAttempt &end)
     {
-        this->open.erase(end.task);
+        this->openPlacements.erase(end.task);
         if (end.outcome == AttemptOutcome::NeverStarted)
-            this->begun.erase(end.task);
+            this->mayHaveStarted.erase(end.task);
     }
 
     void observe(const RegisterTarget &command)
@@ -272,39 +276,39 @@
         const TargetRecord &target = *this->state().targetNamed(command.name);
         const auto before = this->incarnations.find(command.name);
         if (before != this->incarnations.end() && before->second != target.incarnation)
-            this->closeAll(target.id);
+            this->closePlacements(target.id);
         this->incarnations[command.name] = target.incarnation;
     }
 
-    void observe(const LapseTarget &command) { this->closeAll(command.target); }
+    void observe(const LapseTarget &command) { this->closePlacements(command.target); }
 
     template<typename Other>
     void observe(const Other &)
     {}
 
-    void closeAll(TargetId target)
+    void closePlacements(TargetId target)
     {
-        for (auto place = this->open.begin(); place != this->open.end();)
-            place = place->second == target ? this->open.erase(place) : std::next(place);
+        for (auto place = this->openPlacements.begin(); place != this->openPlacements.end();)
+            place = place->second == target ? this->openPlacements.erase(place) : std::next(place);
     }
 
     std::mt19937 random;
     StateFixture fixture;
-    ClusterState copy = this->fixture.state;
-    std::vector<TaskId> known;
-    std::map<TaskId, TargetId> open; ///< places whose end is not known
-    std::set<TaskId> begun; ///< unrepeatable tasks that may have begun
+    ClusterState replica = this->fixture.state;
+    std::vector<TaskId> knownTasks;
+    std::map<TaskId, TargetId> openPlacements; ///< placements that are not known to have ended
+    std::set<TaskId> mayHaveStarted; ///< unrepeatable tasks that may have started
     std::map<std::string, Incarnation> incarnations{{"t1", 1}};
 };
 
 } // namespace
 
-TEST_CASE("no run of commands breaks an invariant and every copy agrees", "[state][property]")
+TEST_CASE("random commands break no invariant and all replicas agree", "[state][property]")
 {
     constexpr int steps = 10000;
     for (unsigned seed = 1; seed <= 12; ++seed) {
         INFO("seed " << seed);
-        RandomOperator random(seed);
+        RandomProposer random(seed);
         for (int step = 0; step < steps; ++step) {
             INFO("step " << step);
             random.step();
@@ -312,7 +316,7 @@
                 random.check();
         }
         random.check();
-        // A run that is refused throughout would prove nothing.
+        // Ensures that enough commands were accepted for the run to be meaningful.
         CHECK(random.accepted > steps / 5);
         CHECK(random.placed > steps / 50);
     }
--- a/test/state/statefixture.h
+++ b/test/state/statefixture.h
@@ -10,7 +10,7 @@
 
 namespace guavavalve {
 
-/// A state with an operator's key, two teams that have a key each, and a target.
+/// A state with an operator key, two teams with one key each, and a target.
 struct StateFixture
 {
     ClusterState state{3};
@@ -104,7 +104,7 @@
         return command;
     }
 
-    /// Accepts \a command, which must be acceptable.
+    /// Applies \a command, which must be accepted, and returns the ID of its first task.
     TaskId accept(const AcceptJob &command)
     {
         const CommandOutcome outcome = this->state.apply(command);
@@ -141,7 +141,7 @@
     Ran ranOf(TaskId task) const { return this->state.task(task)->ran; }
 };
 
-/// The error's code; requires that there is one.
+/// The error code of \a outcome, which must be an error.
 inline ErrorCode codeOf(const CommandOutcome &outcome)
 {
     REQUIRE(outcome.has_error());
