--- a/src/state/clusterstate.h
+++ b/src/state/clusterstate.h
@@ -17,9 +17,9 @@
 
 namespace guavavalve {
 
-/// The replicated state machine of one shard. Deterministic: it uses no I/O, clock or random
-/// numbers, so the same commands in the same order yield the same state and a byte-identical
-/// snapshot.
+/// The replicated state machine of one shard; each shard has its own replica group. Deterministic:
+/// it uses no I/O, clock or random numbers, so the same commands in the same order yield the same
+/// state and a byte-identical snapshot.
 ///
 /// Every command is validated again when it is applied, so a decision that a deposed controller
 /// made on stale state is rejected and cannot break an invariant. A rejected command has no effect
@@ -56,7 +56,7 @@
     /// The job that was accepted from \a team under \a idempotencyKey.
     const JobRecord *jobByIdempotencyKey(TeamId team, const std::string &idempotencyKey) const;
 
-    /// The configured upper limit on the resources that \a team's running tasks hold.
+    /// The configured upper limit on the resources that \a team's placed tasks hold.
     Resources limitOf(TeamId team) const;
 
     /// Serialises the state, with a format version and a checksum.
@@ -93,7 +93,7 @@
     /// Resources needed by the placements of a gang that have been checked but not yet applied.
     struct PendingResources
     {
-        std::map<TargetId, Resources> onTargets;
+        std::map<TargetId, Resources> byTarget;
         Resources byTeam;
     };
 
--- a/src/state/command.h
+++ b/src/state/command.h
@@ -23,6 +23,9 @@
 
 /// A change to the replicated state. The log stores the index of the alternative, so new
 /// alternatives go at the end.
+///
+/// Some commands carry cell times: milliseconds of the clock of the controller that proposed them.
+/// They serve retention, deadlines and reports; correctness does not depend on them.
 using Command =
     std::variant<GrantKey, WithdrawKey, WriteSection, RegisterTarget, LapseTarget, RetireTarget,
                  SetTargetDraining, AcceptJob, PlaceTask, PlaceGang, EndAttempt, ReassignDispatcher,
--- a/src/state/commands/acceptjob.h
+++ b/src/state/commands/acceptjob.h
@@ -10,10 +10,9 @@
 namespace guavavalve {
 
 /// Accepts a job for a team. A resend with the same idempotency key and digest returns the job that
-/// was accepted first, with JobAccepted::joined set. The proposer sets \a first to
-/// ClusterState::nextTask(), plus the tasks of its jobs that are not committed yet. Cell times are
-/// milliseconds of the proposer's clock, used for retention, deadlines and reports; correctness
-/// does not depend on them.
+/// was accepted first, with JobAccepted::joined set. The controller sets \a first to
+/// ClusterState::nextTask() plus the number of tasks in its proposed but uncommitted jobs. For cell
+/// times see Command.
 /// \errors Unauthenticated if the key is unknown, withdrawn or another team's; Conflict if the
 /// idempotency key was used with another digest, or \a first is not an unused ID of the shard (gaps
 /// are allowed); InvalidArgument; PermissionDenied if the class is disabled; LimitExceeded.
@@ -33,7 +32,7 @@
     std::int64_t startBy = 0; ///< cell time in ms; 0: no deadline
     std::int64_t finishBy = 0; ///< cell time in ms; 0: no deadline
     std::string payload;
-    InstanceId entry; ///< the entry, the front-end instance that received the request
+    InstanceId entry; ///< the entry instance (front end) that received the request
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/state/commands/forgetjobs.h
+++ b/src/state/commands/forgetjobs.h
@@ -6,7 +6,8 @@
 
 namespace guavavalve {
 
-/// Removes finished jobs and their idempotency keys. Unknown and unfinished jobs are skipped.
+/// Removes finished jobs and their idempotency keys, once they need not be retained any longer.
+/// Unknown and unfinished jobs are skipped.
 struct ForgetJobs
 {
     std::vector<JobId> jobs;
--- a/src/state/commands/lapsetarget.h
+++ b/src/state/commands/lapsetarget.h
@@ -4,7 +4,8 @@
 
 namespace guavavalve {
 
-/// Records that the lease of a target has lapsed. Its attempts end with outcome Lost.
+/// Records that the lease of a target has expired: the target is now lapsed, and its attempts end
+/// with outcome Lost.
 /// \errors NotFound; Conflict if \a incarnation is not the current one.
 struct LapseTarget
 {
--- a/src/state/commands/registertarget.h
+++ b/src/state/commands/registertarget.h
@@ -9,7 +9,7 @@
 
 /// Registers a target or updates its registration. A higher incarnation ends all attempts of the
 /// previous one as lost.
-/// \errors Conflict if \a incarnation is lower than the known one, or its lease has lapsed: a
+/// \errors Conflict if \a incarnation is lower than the known one, or its lease has expired: a
 /// target must take a higher incarnation after its lease has expired, so that it rejects a delayed
 /// start request that was sent under the old lease. InvalidArgument; LimitExceeded.
 struct RegisterTarget
--- a/src/state/commands/retiretarget.h
+++ b/src/state/commands/retiretarget.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve {
 
-/// Removes a target that has no tasks and takes no work, because it has lapsed, is departing or
+/// Removes a target that has no tasks and takes no work, because it is lapsed, departing or
 /// draining, or its failure domain is evacuated.
 /// \errors NotFound; Conflict while it has tasks or takes work.
 struct RetireTarget
--- a/src/state/configuration.cpp
+++ b/src/state/configuration.cpp
@@ -275,7 +275,7 @@
     ++this->withdrawnKeys;
     changed.documentVersion = this->documentVersion;
     if (this->withdrawnKeys > maxWithdrawnKeys)
-        this->releaseOldestWithdrawnKey();
+        this->evictOldestWithdrawnKey();
     return changed;
 }
 
@@ -287,7 +287,7 @@
         }));
 }
 
-void Configuration::releaseOldestWithdrawnKey()
+void Configuration::evictOldestWithdrawnKey()
 {
     auto oldest = this->keyTable.end();
     for (auto row = this->keyTable.begin(); row != this->keyTable.end(); ++row) {
@@ -297,7 +297,7 @@
             || row->second.changedInVersion < oldest->second.changedInVersion)
             oldest = row;
     }
-    this->keysReleasedUpTo = std::max(this->keysReleasedUpTo, oldest->second.changedInVersion);
+    this->keysEvictedUpTo = std::max(this->keysEvictedUpTo, oldest->second.changedInVersion);
     this->keyTable.erase(oldest);
     --this->withdrawnKeys;
 }
@@ -309,7 +309,7 @@
     changes.toVersion = this->documentVersion;
     if (heldVersion >= this->documentVersion)
         return changes;
-    changes.isFull = heldVersion == 0 || heldVersion < this->keysReleasedUpTo;
+    changes.isFull = heldVersion == 0 || heldVersion < this->keysEvictedUpTo;
     const std::uint64_t after = changes.isFull ? 0 : heldVersion;
     for (const auto &[name, section] : this->sectionTable) {
         if (section.changedInVersion <= after)
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -28,9 +28,9 @@
     static constexpr std::size_t maxSectionBytes = std::size_t{64} * 1024;
     static constexpr std::size_t maxHistory = 32; ///< versions kept per section
     static constexpr std::size_t maxHistoryBytes = std::size_t{128} * 1024; ///< per section
-    static constexpr std::size_t maxEarlierLeases = 64;
+    static constexpr std::size_t maxEarlierLeases = 64; ///< see longestTargetLeaseMs()
     static constexpr std::size_t maxKeys = 20000; ///< in use
-    static constexpr std::size_t maxWithdrawnKeys = 20000; ///< kept; the oldest are released
+    static constexpr std::size_t maxWithdrawnKeys = 20000; ///< kept; the oldest are evicted
 
     std::uint64_t version() const { return this->documentVersion; }
     const std::map<std::string, Section> &sections() const { return this->sectionTable; }
@@ -76,7 +76,7 @@
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->documentVersion, this->keysReleasedUpTo, this->sectionTable, this->keyTable,
+        archive(this->documentVersion, this->keysEvictedUpTo, this->sectionTable, this->keyTable,
                 this->earlierLeases);
     }
 
@@ -86,12 +86,12 @@
     ParsedDocument readAfterWrite(const WriteSection &command) const;
     void recordPreviousLease();
     std::size_t countOperatorKeys() const;
-    void releaseOldestWithdrawnKey();
+    void evictOldestWithdrawnKey();
 
     std::uint64_t documentVersion = 0;
-    /// The version of the newest withdrawal whose key record has been released. A holder of an
+    /// The version of the newest withdrawal whose key record has been evicted. A holder of an
     /// older version is sent the full document, since that withdrawal is no longer in the changes.
-    std::uint64_t keysReleasedUpTo = 0;
+    std::uint64_t keysEvictedUpTo = 0;
     std::map<std::string, Section> sectionTable;
     std::map<std::string, KeyRecord> keyTable;
     std::vector<std::int64_t> earlierLeases; ///< in ms, drift margin included; oldest first
--- a/src/state/keysecret.h
+++ b/src/state/keysecret.h
@@ -21,8 +21,8 @@
 std::string generateSecret();
 
 /// The keyed hash (libsodium's BLAKE2b) of a key's secret, in hexadecimal. \a clusterKey is the
-/// cluster's secret: without it, secrets cannot be guessed from a stolen copy of the state. The
-/// hash also covers the key ID, so it is not valid for another key.
+/// cluster's secret: without knowing it, secrets cannot be guessed from a stolen copy of the state.
+/// The hash also covers the key ID, so it is not valid for another key.
 /// \errors InvalidArgument if \a clusterKey is shorter than 16 bytes.
 Result<std::string> hashSecret(const KeyToken &token, const std::string &clusterKey);
 
--- a/src/state/placementcommands.cpp
+++ b/src/state/placementcommands.cpp
@@ -31,9 +31,10 @@
 }
 
 /// True if the answer of an attempt that was recorded as lost may still be accepted: no other
-/// attempt was started since. The entry instance had received the complete answer before the
-/// target's lease expired, but could not report it in time. Without this rule, a short network
-/// partition would leave an unrepeatable task in state Unknown although its answer is available.
+/// attempt was started since. This happens if the entry instance received the complete answer
+/// before the target's lease expired, but could not report it in time. Without this rule, a short
+/// network partition would leave an unrepeatable task in state Unknown although its answer is
+/// available.
 bool acceptsLateAnswer(const TaskRecord &task, const FinishedAttempt &last)
 {
     return last.outcome == AttemptOutcome::Lost
@@ -90,7 +91,8 @@
 Result<void> ClusterState::checkGang(const PlaceGang &command) const
 {
     if (command.places.empty())
-        return failure(ErrorCode::InvalidArgument, "the placement of a gang names no task");
+        return failure(ErrorCode::InvalidArgument,
+                       "the placement of a gang must name at least one task");
     const JobRecord *job = this->jobOf(command.places.front().task);
     if (job == nullptr)
         return internal::taskNotFound(command.places.front().task);
@@ -111,7 +113,7 @@
                 "the placement of a gang must name each task once, and only tasks of one job");
         if (auto checked = this->checkPlacement(place, *job, pending); checked.has_error())
             return checked.error();
-        pending.onTargets[place.target] += job->need;
+        pending.byTarget[place.target] += job->need;
         pending.byTeam += job->need;
     }
     return boost::outcome_v2::success();
@@ -145,8 +147,8 @@
 {
     const TargetRecord &target = *this->target(place.target);
     Resources onTarget = target.used + job.need;
-    const auto already = pending.onTargets.find(place.target);
-    if (already != pending.onTargets.end())
+    const auto already = pending.byTarget.find(place.target);
+    if (already != pending.byTarget.end())
         onTarget += already->second;
     if (!onTarget.fitsInto(target.total))
         return failure(ErrorCode::LimitExceeded,
--- a/src/state/policydocument.cpp
+++ b/src/state/policydocument.cpp
@@ -92,7 +92,7 @@
                  "Weight relative to other teams when the cell is full.")
         .operatorsOnly = true;
     addResources(table, "limit", &TeamSection::limit, true,
-                 "Upper limit on the resources of the team's running tasks; 2^53: no limit.");
+                 "Upper limit on the resources of the team's placed tasks; 2^53: no limit.");
     table.integer(
         "maxWaitingTasks", &TeamSection::maxWaitingTasks, Unit::None, {0, maxTasks},
         "Maximum number of waiting tasks; 0: the cell's limit. The cell's limit always applies.");
--- a/src/state/targetcommands.cpp
+++ b/src/state/targetcommands.cpp
@@ -26,8 +26,8 @@
     return boost::outcome_v2::success();
 }
 
-/// Ensures that after a lapse the name is reused only by a process that cannot have received start
-/// requests from before it.
+/// Ensures that after its lease has expired, the target's name is reused only by a process that
+/// cannot have received a start request sent under that lease.
 Result<void> checkIncarnation(const RegisterTarget &command, const TargetRecord &known)
 {
     if (command.incarnation < known.incarnation)
@@ -37,7 +37,7 @@
                            + std::to_string(command.incarnation) + " is outdated");
     if (command.incarnation == known.incarnation && known.lapsed)
         return failure(ErrorCode::Conflict,
-                       "the lease of target " + quoted(command.name) + " lapsed in incarnation "
+                       "the lease of target " + quoted(command.name) + " expired in incarnation "
                            + std::to_string(command.incarnation)
                            + "; it must stop its tasks and register with a higher incarnation");
     return boost::outcome_v2::success();
@@ -96,7 +96,7 @@
                            + std::to_string(target->incarnation) + ", not "
                            + std::to_string(command.incarnation));
     target->lapsed = true;
-    this->endAttemptsAsLost(*target, "the lease of target " + target->name + " lapsed");
+    this->endAttemptsAsLost(*target, "the lease of target " + target->name + " expired");
     return CommandValue(Nothing());
 }
 
--- a/src/state/targetrecord.h
+++ b/src/state/targetrecord.h
@@ -22,7 +22,7 @@
     bool departing = false; ///< set by the target itself
     bool draining = false; ///< set by an operator
     bool evacuated = false; ///< its failure domain is evacuated; derived, not in a snapshot
-    bool lapsed = false; ///< its lease has lapsed; it must register with a higher incarnation
+    bool lapsed = false; ///< its lease has expired; it must register with a higher incarnation
     std::vector<TaskId> tasks; ///< placed there, in ascending order
 
     bool takesWork() const
--- a/src/state/teamsection.h
+++ b/src/state/teamsection.h
@@ -25,7 +25,7 @@
     std::string description;
     std::string contact;
     std::int64_t share = 100; ///< weight relative to other teams when the cell is full
-    Resources limit = unlimitedResources(); ///< upper limit on the resources of its running tasks
+    Resources limit = unlimitedResources(); ///< upper limit on the resources of its placed tasks
     std::int64_t maxWaitingTasks = 0; ///< 0: the cell's value; the cell's bound applies in any case
     std::array<TeamClassPolicy, workClassCount> classes;
 
--- a/test/state/boundstest.cpp
+++ b/test/state/boundstest.cpp
@@ -19,9 +19,9 @@
 }
 
 // An entry instance is offline while more keys are withdrawn than the state keeps records of. If it
-// were sent only the remaining changes, a key whose record has been released would stay valid
+// were sent only the remaining changes, a key whose record has been evicted would stay valid
 // there.
-TEST_CASE("an entry that missed a released withdrawal receives the full configuration", "[state]")
+TEST_CASE("an entry that missed an evicted withdrawal receives the full configuration", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.grant("old", "mill", KeyRole::Team).has_value());
--- a/test/state/fuzztest.cpp
+++ b/test/state/fuzztest.cpp
@@ -40,7 +40,7 @@
     return fixture.state;
 }
 
-CommandBatch allCommands(const ClusterState &state)
+CommandBatch oneOfEachCommand(const ClusterState &state)
 {
     CommandBatch batch;
     batch.shard = state.shard();
@@ -88,7 +88,7 @@
     INFO("seed " << seed);
     std::mt19937 random(seed);
     const ClusterState before = populatedState();
-    const std::string bytes = encodeBatch(allCommands(before)).value();
+    const std::string bytes = encodeBatch(oneOfEachCommand(before)).value();
     int refused = 0;
     int applied = 0;
     for (int round = 0; round < rounds; ++round) {
--- a/test/state/jobstest.cpp
+++ b/test/state/jobstest.cpp
@@ -74,11 +74,11 @@
     CHECK(fixture.state.verifyCounts().has_value());
 }
 
-// A target is partitioned, its lease lapses, and it reconnects. An entry instance that was
-// suspended in the meantime sends a start request from before the lapse. If the target kept its
+// A target is partitioned, its lease expires, and it reconnects. An entry instance that was
+// suspended in the meantime sends a start request from before the expiry. If the target kept its
 // incarnation, it would start the task, which by now is placed elsewhere, and the task would run
 // twice.
-TEST_CASE("a target whose lease lapsed can register only with a new incarnation", "[state]")
+TEST_CASE("a target whose lease expired can register only with a new incarnation", "[state]")
 {
     StateFixture fixture;
     REQUIRE(fixture.registerTarget("t2", 1).has_value());
@@ -98,9 +98,9 @@
 }
 
 // An entry instance receives the complete answer of a confirmation but is partitioned before it can
-// report it. Meanwhile the target's lease lapses and the task ends as unknown. The late report must
-// still be recorded.
-TEST_CASE("an answer that arrives after the lease lapsed is recorded once", "[state]")
+// report it. Meanwhile the target's lease expires and the task ends as unknown. The late report
+// must still be recorded.
+TEST_CASE("an answer that arrives after the lease expired is recorded once", "[state]")
 {
     StateFixture fixture;
     AcceptJob once = fixture.job("confirmation");
