--- a/src/state/commands/forgetjobs.h
+++ b/src/state/commands/forgetjobs.h
@@ -6,8 +6,8 @@
 
 namespace guavavalve {
 
-/// Forgets finished jobs and their idempotency keys; jobs that are unknown or have not finished
-/// are left alone.
+/// Removes finished jobs and their idempotency keys, once they need not be retained any longer.
+/// Unknown and unfinished jobs are skipped.
 struct ForgetJobs
 {
     std::vector<JobId> jobs;
