--- a/src/workflows/agentpool.cpp
+++ b/src/workflows/agentpool.cpp
@@ -8,12 +8,15 @@
 
 namespace {
 
-/// For an instance that was stopped, frozen or cut off to be missing from those that are there.
-constexpr Milliseconds doubtFor{2000};
-/// An agent of many targets answers many times a second.
-constexpr Milliseconds silenceOfAgent{500};
-/// A target without orders for this long has none: each is asked once a second.
-constexpr Milliseconds unusedLimit{10000};
+/// How long an unresponsive agent carries nothing: long enough for an instance that was stopped,
+/// frozen or cut off to disappear from the list of available instances.
+constexpr Milliseconds unresponsivePeriod{2000};
+/// An agent that answered within this time counts as responsive: one that carries orders for many
+/// targets answers many times a second.
+constexpr Milliseconds responsivePeriod{500};
+/// An assignment is dropped after this long without orders: every target in use is polled once a
+/// second.
+constexpr Milliseconds assignmentTimeout{10000};
 
 } // namespace
 
@@ -22,7 +25,7 @@
     , targetsPerAgent(targetsPerAgent)
 {}
 
-void AgentPool::present(const std::vector<InstanceId> &now, Instant at)
+void AgentPool::setAgents(const std::vector<InstanceId> &now, Instant at)
 {
     this->agents = {now.begin(), now.end()};
     this->agents.erase(this->self);
@@ -37,7 +40,7 @@
     assignment.usedAt = now;
     if (!isNew) {
         const bool isOverfull = this->targetsOf(assignment.agent) > this->targetsPerAgent;
-        if (this->isGood(assignment.agent, now)
+        if (this->isAvailable(assignment.agent, now)
             && (!isOverfull || !this->hasRoom(this->leastLoaded(now))))
             return assignment.agent;
         --this->counts[assignment.agent];
@@ -52,17 +55,18 @@
     this->answeredAt[agent] = now;
 }
 
-/// Guards against an agent that is given up for one order that was late: all its targets would open
-/// new connections elsewhere.
-bool AgentPool::unanswered(const InstanceId &agent, bool isUnreachable, Instant now)
+/// Guards against giving up an agent because of a single late order: all its targets would open new
+/// connections elsewhere.
+bool AgentPool::recordFailure(const InstanceId &agent, bool isUnreachable, Instant now)
 {
     const auto answer = this->answeredAt.find(agent);
-    const bool isAlive = answer != this->answeredAt.end() && now < answer->second + silenceOfAgent;
+    const bool isAlive =
+        answer != this->answeredAt.end() && now < answer->second + responsivePeriod;
     if (agent == this->self || (isAlive && !isUnreachable))
         return false;
-    Instant &until = this->doubtedUntil[agent];
+    Instant &until = this->unresponsiveUntil[agent];
     const bool wasGood = until <= now;
-    until = now + doubtFor;
+    until = now + unresponsivePeriod;
     return wasGood;
 }
 
@@ -77,13 +81,13 @@
     return this->assignments.size() - this->targetsOf(this->self);
 }
 
-bool AgentPool::isGood(const InstanceId &agent, Instant now) const
+bool AgentPool::isAvailable(const InstanceId &agent, Instant now) const
 {
     if (agent == this->self)
         return true;
-    const auto doubted = this->doubtedUntil.find(agent);
+    const auto unresponsive = this->unresponsiveUntil.find(agent);
     return this->agents.count(agent) != 0
-        && (doubted == this->doubtedUntil.end() || doubted->second <= now);
+        && (unresponsive == this->unresponsiveUntil.end() || unresponsive->second <= now);
 }
 
 bool AgentPool::hasRoom(const InstanceId &agent) const
@@ -91,13 +95,14 @@
     return this->targetsOf(agent) < this->targetsPerAgent;
 }
 
-/// Of the others, unless none is good or all have more than the controller's own instance.
+/// The least loaded of the other instances, or the controller's own if none of them is responsive
+/// or all of them have more targets than it.
 const InstanceId &AgentPool::leastLoaded(Instant now) const
 {
     const InstanceId *best = nullptr;
     for (const InstanceId &agent : this->agents) {
         const bool isLess = best == nullptr || this->targetsOf(agent) < this->targetsOf(*best);
-        if (isLess && this->isGood(agent, now))
+        if (isLess && this->isAvailable(agent, now))
             best = &agent;
     }
     const bool isTaken = best != nullptr
@@ -107,12 +112,12 @@
 
 void AgentPool::dropUnused(Instant now)
 {
-    this->nextDrop = now + unusedLimit;
-    for (auto one = this->assignments.begin(); one != this->assignments.end();) {
-        const bool isUnused = one->second.usedAt + unusedLimit < now;
+    this->nextDrop = now + assignmentTimeout;
+    for (auto it = this->assignments.begin(); it != this->assignments.end();) {
+        const bool isUnused = it->second.usedAt + assignmentTimeout < now;
         if (isUnused)
-            --this->counts[one->second.agent];
-        one = isUnused ? this->assignments.erase(one) : std::next(one);
+            --this->counts[it->second.agent];
+        it = isUnused ? this->assignments.erase(it) : std::next(it);
     }
 }
 
--- a/src/workflows/agentpool.h
+++ b/src/workflows/agentpool.h
@@ -12,33 +12,34 @@
 
 namespace guavavalve::workflows {
 
-/// Decides which instance carries the orders for which target: the controller's own as long as it
-/// has connections for all of them, and beyond that others too, so that the number of targets is
-/// not bounded by the descriptors of one process. Pure; not thread-safe.
+/// Assigns each target to the instance that carries its orders: the controller's own instance as
+/// long as it has connections for all targets, and other instances for those beyond that, so that
+/// the number of targets is not bounded by the file descriptors of one process. Pure; not
+/// thread-safe.
 ///
-/// Carrying is stateless: an order says all that its target needs, so a target may change its agent
-/// between any two orders.
+/// Agents are stateless: an order contains everything that its target needs, so a target may change
+/// its agent between any two orders.
 class AgentPool
 {
 public:
-    /// \a self: the controller's instance. \a targetsPerAgent: for how many targets one instance,
-    /// the controller's own included, has connections.
+    /// \a self: the controller's instance. \a targetsPerAgent: the number of targets that one
+    /// instance, including the controller's own, has connections for.
     AgentPool(InstanceId self, std::size_t targetsPerAgent);
 
-    /// The instances that may carry orders now, without the controller's own.
-    void present(const std::vector<InstanceId> &agents, Instant now);
-    /// Who carries the next order for \a target: the same instance as before as long as it is
-    /// there, not doubted, and not over its number.
+    /// Sets the instances that may carry orders, apart from the controller's own.
+    void setAgents(const std::vector<InstanceId> &agents, Instant now);
+    /// The instance that carries the next order for \a target. It stays the same as long as it is
+    /// available, responsive and within its limit.
     const InstanceId &choose(const std::string &target, Instant now);
-    /// \a agent has said what came of an order.
+    /// \a agent has returned the outcome of an order.
     void answered(const InstanceId &agent, Instant now);
-    /// An order was given to \a agent and nothing came back. Unless it has answered others lately,
-    /// it carries nothing for a while; so it is at once if \a isUnreachable. True if it was not
-    /// doubted before and is now.
-    bool unanswered(const InstanceId &agent, bool isUnreachable, Instant now);
+    /// An order sent to \a agent got no reply. The agent carries nothing for a while if it \a
+    /// isUnreachable or has not answered any order recently. Returns true if this makes a
+    /// responsive agent count as unresponsive.
+    bool recordFailure(const InstanceId &agent, bool isUnreachable, Instant now);
 
     std::size_t targetsOf(const InstanceId &agent) const;
-    /// Targets whose orders others carry.
+    /// Number of targets whose orders other instances carry.
     std::size_t sharedTargets() const;
 
 private:
@@ -48,7 +49,7 @@
         Instant usedAt{};
     };
 
-    bool isGood(const InstanceId &agent, Instant now) const;
+    bool isAvailable(const InstanceId &agent, Instant now) const;
     bool hasRoom(const InstanceId &agent) const;
     const InstanceId &leastLoaded(Instant now) const;
     void dropUnused(Instant now);
@@ -56,10 +57,10 @@
     InstanceId self;
     std::size_t targetsPerAgent;
     std::set<InstanceId> agents;
-    std::map<InstanceId, Instant> doubtedUntil;
+    std::map<InstanceId, Instant> unresponsiveUntil;
     std::map<InstanceId, Instant> answeredAt;
     std::unordered_map<std::string, Assignment> assignments; ///< by the target's name
-    std::map<InstanceId, std::size_t> counts; ///< assignments
+    std::map<InstanceId, std::size_t> counts; ///< number of assigned targets
     Instant nextDrop{};
 };
 
--- a/src/workflows/carriedorder.h
+++ b/src/workflows/carriedorder.h
@@ -14,17 +14,19 @@
 
 /// An order of the controller that another instance carries to its target.
 ///
-/// It may be carried late, as one may be that the target itself is slow to take: its term, the
-/// run's number and a lease on the target's own clock decide there whether it still holds.
+/// It may arrive late, just as an order may that the target itself is slow to accept: by its term,
+/// its run number and a lease on the target's own clock, the target decides whether the order is
+/// still valid.
 struct CarriedOrder
 {
-    std::string target; ///< its name
+    std::string target; ///< target name
     std::int64_t startedAtMs = 0;
     std::string address;
     std::variant<StartOrder, StopOrder, HoldOrder> order;
-    /// From its arrival, since clocks differ: for the answer, and for leaving the line.
+    /// Counted from the order's arrival, since clocks differ between instances: the time for the
+    /// answer, and for sending the order to its target.
     std::int64_t answerWithinMs = 0;
-    std::int64_t leaveWithinMs = 0; ///< of starts
+    std::int64_t leaveWithinMs = 0; ///< for starts only
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -34,7 +36,7 @@
     }
 };
 
-/// What came of it: the target's answer, or why there is none.
+/// The outcome of a carried order: the target's answer, or the error that took its place.
 struct CarriedAnswer
 {
     std::variant<Error, OrderAnswer, HoldAnswer> answer;
--- a/src/workflows/command.h
+++ b/src/workflows/command.h
@@ -22,14 +22,14 @@
 
 namespace guavavalve::workflows {
 
-/// One change of the book. The order of the alternatives is part of the format of the log: new ones
-/// go to the end.
+/// One change of the workflow store. The order of the alternatives is part of the log format:
+/// append new ones at the end.
 using Command =
     std::variant<AcceptWorkflow, CancelWorkflow, PlaceRuns, EndRuns, RegisterIncarnation,
                  ForgetIncarnation, StoreDocument, ForgetWorkflows, SetIncarnationDraining,
                  EvacuateDomain, MarkIncarnationCrashed, MarkIncarnationAlive, ResizeIncarnation>;
 
-/// Commands that go into the log as one entry. An empty batch is a read barrier.
+/// Commands that form one log entry. An empty batch is a read barrier.
 using CommandBatch = std::vector<Command>;
 
 } // namespace guavavalve::workflows
--- a/src/workflows/commandoutcome.h
+++ b/src/workflows/commandoutcome.h
@@ -9,12 +9,12 @@
 
 namespace guavavalve::workflows {
 
-/// What became of one command.
+/// Outcome of one command.
 enum class CommandOutcome : std::uint8_t {
     Applied,
-    Joined, ///< the workflow was known already, and nothing has changed
-    Unchanged, ///< it holds already or is out of date
-    Rejected, ///< it does not fit what the book holds, and nothing has changed
+    Joined, ///< the workflow exists already; nothing has changed
+    Unchanged, ///< the command is already in effect or out of date
+    Rejected, ///< the command conflicts with the stored state; nothing has changed
 };
 
 inline constexpr EnumNames<CommandOutcome, 4> commandOutcomeNames{{
--- a/src/workflows/commands/acceptworkflow.h
+++ b/src/workflows/commands/acceptworkflow.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve::workflows {
 
-/// Takes on a workflow. The same identity again joins the first.
+/// Accepts a workflow. A repetition with the same identity joins the existing one.
 struct AcceptWorkflow
 {
     WorkflowSpec spec;
--- a/src/workflows/commands/cancelworkflow.h
+++ b/src/workflows/commands/cancelworkflow.h
@@ -6,11 +6,12 @@
 
 namespace guavavalve::workflows {
 
-/// Nothing more of the workflow is started; what is placed is to be stopped.
+/// Cancels a workflow: none of its tasks is started any more, and those that are placed are to be
+/// stopped.
 struct CancelWorkflow
 {
     WorkflowId id = WorkflowId::None;
-    std::int64_t atMs = 0; ///< calendar time, for retention only
+    std::int64_t atMs = 0; ///< calendar time; used only for retention
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/commands/endruns.h
+++ b/src/workflows/commands/endruns.h
@@ -9,11 +9,11 @@
 
 namespace guavavalve::workflows {
 
-/// Records ends. An end of another run than the last placed one changes nothing.
+/// Records the ends of runs. The end of any run but the one placed last has no effect.
 struct EndRuns
 {
     std::vector<RunEnd> ends;
-    std::int64_t atMs = 0; ///< calendar time, for retention only
+    std::int64_t atMs = 0; ///< calendar time; used only for retention
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/commands/evacuatedomain.h
+++ b/src/workflows/commands/evacuatedomain.h
@@ -6,8 +6,8 @@
 
 namespace guavavalve::workflows {
 
-/// An operator wants nothing more to be started in a failure domain, or takes that back. Whichever
-/// is stored last holds.
+/// An operator evacuates a failure domain, so that nothing new is started there, or reopens it. The
+/// command stored last is in effect.
 struct EvacuateDomain
 {
     std::string failureDomain;
--- a/src/workflows/commands/forgetincarnation.h
+++ b/src/workflows/commands/forgetincarnation.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve::workflows {
 
-/// A life is over and nothing is placed on it any more.
+/// Removes an incarnation that is over and has nothing placed on it.
 struct ForgetIncarnation
 {
     IncarnationId incarnation = IncarnationId::None;
--- a/src/workflows/commands/forgetworkflows.h
+++ b/src/workflows/commands/forgetworkflows.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve::workflows {
 
-/// Workflows that ended long ago and have nothing placed.
+/// Removes workflows whose retention time has passed and that have nothing placed.
 struct ForgetWorkflows
 {
     std::vector<WorkflowId> ids;
--- a/src/workflows/commands/markincarnationalive.h
+++ b/src/workflows/commands/markincarnationalive.h
@@ -4,7 +4,8 @@
 
 namespace guavavalve::workflows {
 
-/// A life that runs were lost with answers again: it was cut off and has not crashed.
+/// An incarnation that runs were lost with answers again: it had lost its connection and has not
+/// crashed.
 struct MarkIncarnationAlive
 {
     IncarnationId incarnation = IncarnationId::None;
--- a/src/workflows/commands/markincarnationcrashed.h
+++ b/src/workflows/commands/markincarnationcrashed.h
@@ -6,12 +6,12 @@
 
 namespace guavavalve::workflows {
 
-/// The process of a target's life is gone without a goodbye: what was lost with it has been under a
-/// crash.
+/// The process of an incarnation is gone although its target did not announce that it leaves: the
+/// runs lost with it count as lost to a crash.
 struct MarkIncarnationCrashed
 {
     IncarnationId incarnation = IncarnationId::None;
-    std::int64_t atMs = 0; ///< calendar time, for retention only
+    std::int64_t atMs = 0; ///< calendar time; used only for retention
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/commands/placeruns.h
+++ b/src/workflows/commands/placeruns.h
@@ -10,10 +10,10 @@
 
 namespace guavavalve::workflows {
 
-/// One task's place.
+/// Assigns one task to an incarnation of a target.
 struct Placement
 {
-    std::uint16_t index = 0; ///< of the task in its step
+    std::uint16_t index = 0; ///< index of the task within its step
     IncarnationId incarnation = IncarnationId::None;
 
     template<typename Archive>
@@ -23,11 +23,11 @@
     }
 };
 
-/// Places tasks of one step: all of them or none. Each gets the run number \a run.
+/// Places tasks of one step: all of them or none. Each of them gets the run number \a run.
 struct PlaceRuns
 {
     StepAddress step;
-    RunNumber run = 0; ///< above that of every task placed here
+    RunNumber run = 0; ///< higher than the latest run number of each of the tasks
     std::vector<Placement> placements;
 
     template<typename Archive>
--- a/src/workflows/commands/registerincarnation.h
+++ b/src/workflows/commands/registerincarnation.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve::workflows {
 
-/// A target's life is heard of for the first time.
+/// Registers a new incarnation of a target.
 struct RegisterIncarnation
 {
     TargetIdentity identity;
--- a/src/workflows/commands/resizeincarnation.h
+++ b/src/workflows/commands/resizeincarnation.h
@@ -7,13 +7,13 @@
 
 namespace guavavalve::workflows {
 
-/// A target has said that its room has changed. What runs there goes on, also beyond a room that
-/// has shrunk. A report that is older than the last one that changed the room changes nothing.
+/// A target has reported a changed capacity. Its runs continue even if they exceed a reduced
+/// capacity. A report that is older than the last one that changed the capacity has no effect.
 struct ResizeIncarnation
 {
     IncarnationId incarnation = IncarnationId::None;
     Resources capacity;
-    std::uint64_t sequence = 0; ///< of the target's report; grows within one life
+    std::uint64_t sequence = 0; ///< of the target's report; increases within one incarnation
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/commands/setincarnationdraining.h
+++ b/src/workflows/commands/setincarnationdraining.h
@@ -4,8 +4,9 @@
 
 namespace guavavalve::workflows {
 
-/// A target has said that it drains, or that it no longer does. Stored before it is acknowledged:
-/// every later controller then knows it without having heard the target itself.
+/// A target has reported that it drains, or that it no longer does. Stored before the report is
+/// acknowledged, so that every later controller knows it without having heard from the target
+/// itself.
 struct SetIncarnationDraining
 {
     IncarnationId incarnation = IncarnationId::None;
--- a/src/workflows/commands/storedocument.h
+++ b/src/workflows/commands/storedocument.h
@@ -7,8 +7,8 @@
 
 namespace guavavalve::workflows {
 
-/// Puts a configuration document in force if its version is the highest so far; else nothing
-/// changes. The versions are the operators' own.
+/// Puts a configuration document into force if its version is higher than all versions so far;
+/// otherwise nothing changes. Operators choose the version numbers.
 struct StoreDocument
 {
     std::int64_t version = 0;
--- a/src/workflows/controller.cpp
+++ b/src/workflows/controller.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// A target that has been silent for this long with nothing on it is forgotten.
-constexpr Milliseconds forgetSilence{15000};
+/// A target that has been silent for this long and has nothing placed on it is forgotten.
+constexpr Milliseconds silenceTimeout{15000};
 constexpr Milliseconds forgetInterval{2000};
 constexpr Milliseconds planLogInterval{1000};
-/// One target in so many may be suspended at a time: if more fail, something else is wrong.
-constexpr std::size_t partSuspended = 4;
-/// One target in so many may be kept for tasks on trial at a time.
-constexpr std::size_t partOnTrial = 4;
-/// After a plan the next one waits for this many times as long as it took, so that planning never
-/// takes more than a quarter of the loop's time.
-constexpr int pausePerPlan = 3;
-/// A loop that is later than this is logged: orders and answers wait as long.
-constexpr Milliseconds lagToLog{100};
+/// One in this many targets may be suspended at a time: if more of them fail, the cause lies
+/// elsewhere.
+constexpr std::size_t targetsPerSuspension = 4;
+/// One in this many targets may be reserved at a time for tasks on trial.
+constexpr std::size_t targetsPerTrial = 4;
+/// The pause after a plan, as a multiple of the time that the plan took. Planning then never takes
+/// more than a quarter of the loop's time.
+constexpr int planPauseFactor = 3;
+/// A loop delay beyond this is logged: orders and answers are delayed as much.
+constexpr Milliseconds loopLagLogThreshold{100};
 
 } // namespace
 
@@ -58,14 +59,14 @@
     for (auto &[incarnation, state] : this->incarnations)
         state.session->end();
     this->incarnations.clear();
-    this->unbegun.clear();
+    this->sessionsToStart.clear();
     this->health.clear();
-    this->movesOf.clear();
+    this->moveCounts.clear();
     this->admissions.clear();
     this->admittedFractions.clear();
     this->claims.clear();
     this->waits.clear();
-    this->orphansSince.clear();
+    this->incompleteGangsSince.clear();
     this->openQueries = 0;
     for (Pending &waiting : std::exchange(this->pending, {})) {
         if (waiting.done)
@@ -79,7 +80,7 @@
     if (!nowLeads)
         return;
     this->refreshPolicy();
-    this->openAll();
+    this->openSessions();
     this->needsPlan = true;
     this->nextTickAt = this->options.clock();
     this->tick(newTerm);
@@ -103,38 +104,38 @@
         logConfigurationUnreadable(version, read.error());
         return;
     }
-    this->inForce = std::move(read).value();
-    logConfigurationInForce(version, this->inForce);
+    this->currentPolicy = std::move(read).value();
+    logConfigurationInForce(version, this->currentPolicy);
     this->needsPlan = true;
 }
 
 void Controller::submit(WorkflowSpec spec, Done<CommandOutcome> done)
 {
     spec.acceptedAtMs = this->options.calendarMs();
-    this->add(AcceptWorkflow{std::move(spec)}, std::move(done));
+    this->enqueue(AcceptWorkflow{std::move(spec)}, std::move(done));
 }
 
 void Controller::cancel(WorkflowId id, Done<CommandOutcome> done)
 {
     const std::int64_t atMs = this->options.calendarMs();
-    this->add(CancelWorkflow{id, atMs},
-              [this, id, atMs, done = std::move(done)](const Result<CommandOutcome> &outcome) {
-                  if (outcome && outcome.value() == CommandOutcome::Applied)
-                      this->countOver({id}, atMs);
-                  if (outcome && outcome.value() != CommandOutcome::Rejected)
-                      this->stopPlaced(id);
-                  done(outcome);
-              });
+    this->enqueue(CancelWorkflow{id, atMs},
+                  [this, id, atMs, done = std::move(done)](const Result<CommandOutcome> &outcome) {
+                      if (outcome && outcome.value() == CommandOutcome::Applied)
+                          this->countFinished({id}, atMs);
+                      if (outcome && outcome.value() != CommandOutcome::Rejected)
+                          this->stopPlaced(id);
+                      done(outcome);
+                  });
 }
 
 void Controller::storeDocument(std::int64_t version, std::string text, Done<CommandOutcome> done)
 {
-    this->add(StoreDocument{version, std::move(text)},
-              [this, done = std::move(done)](const Result<CommandOutcome> &outcome) {
-                  if (outcome)
-                      this->refreshPolicy();
-                  done(outcome);
-              });
+    this->enqueue(StoreDocument{version, std::move(text)},
+                  [this, done = std::move(done)](const Result<CommandOutcome> &outcome) {
+                      if (outcome)
+                          this->refreshPolicy();
+                      done(outcome);
+                  });
 }
 
 void Controller::confirmLeadership(Done<Nothing> done)
@@ -147,7 +148,7 @@
     this->flush();
 }
 
-void Controller::add(Command command, Done<CommandOutcome> done)
+void Controller::enqueue(Command command, Done<CommandOutcome> done)
 {
     if (!this->leads) {
         if (done)
@@ -158,7 +159,8 @@
     this->flush();
 }
 
-/// Queued behind what the loop has waiting, so that what came in together shares a batch.
+/// Runs after the actions that are queued on the loop already, so that commands that arrived
+/// together share a batch.
 void Controller::flush()
 {
     if (this->isBatchUnderWay || this->isFlushQueued || !this->leads)
@@ -182,7 +184,7 @@
     } else if (std::exchange(this->needsPlan, false)) {
         this->plan(batch);
         const Instant planned = this->options.clock();
-        this->nextPlanAt = planned + pausePerPlan * (planned - now);
+        this->nextPlanAt = planned + planPauseFactor * (planned - now);
     }
     if (!batch.empty() || !this->waitingBarriers.empty())
         this->propose(std::move(batch));
@@ -224,7 +226,7 @@
                       });
 }
 
-void Controller::tellOutcomes(const Proposed &proposed, const Result<CommandOutcomes> &outcomes)
+void Controller::reportOutcomes(const Proposed &proposed, const Result<CommandOutcomes> &outcomes)
 {
     for (std::size_t i = 0; i < proposed.done.size(); ++i) {
         if (!proposed.done[i])
@@ -251,18 +253,19 @@
     const bool isOurTerm = this->leads && this->term == proposed.term;
     if (isOurTerm)
         this->isBatchUnderWay = false;
-    Result<CommandOutcomes> outcomes = failure(ErrorCode::Unavailable, "not stored");
+    Result<CommandOutcomes> outcomes = failure(ErrorCode::Unavailable, "the batch was not stored");
     if (!outcome)
         outcomes = outcome.error();
     else
         outcomes = decode<CommandOutcomes>(outcome.value());
     if (outcomes && outcomes.value().size() != proposed.done.size())
-        outcomes = failure(ErrorCode::Corrupt, "a batch has other outcomes than commands");
-    tellOutcomes(proposed, outcomes);
+        outcomes = failure(ErrorCode::Corrupt,
+                           "the batch has a different number of outcomes than commands");
+    reportOutcomes(proposed, outcomes);
     if (!isOurTerm)
         return;
-    // What has just been stored is what the next plan is made of: accepted steps, and the room
-    // and the steps that ends have freed. Without this they would wait for the next tick.
+    // The next plan depends on what has just been stored: accepted steps, and the resources and
+    // steps that ended runs have released. Without this they would wait for the next tick.
     for (std::size_t i = 0; outcomes && i < proposed.done.size(); ++i) {
         this->needsPlan |=
             outcomes.value()[i] == CommandOutcome::Applied && !proposed.isPlacement[i];
@@ -281,8 +284,8 @@
 std::vector<OpenTarget> Controller::openTargets(const WorkflowStore &store) const
 {
     const Instant now = this->options.clock();
-    const std::size_t maxSuspended = this->incarnations.size() / partSuspended;
-    const std::size_t maxOnTrial = this->incarnations.size() / partOnTrial;
+    const std::size_t maxSuspended = this->incarnations.size() / targetsPerSuspension;
+    const std::size_t maxOnTrial = this->incarnations.size() / targetsPerTrial;
     std::size_t suspended = 0;
     std::size_t onTrial = 0;
     std::vector<OpenTarget> open;
@@ -311,7 +314,7 @@
 void Controller::plan(std::vector<Pending> &batch)
 {
     const Plan made = this->machine.read([&](const WorkflowStore &store) {
-        return makePlan({store, this->inForce, this->admissions, this->claims,
+        return makePlan({store, this->currentPolicy, this->admissions, this->claims,
                          this->openTargets(store), this->options.clock(),
                          this->options.calendarMs(), &this->admittedFractions,
                          this->admissionPort.querierCount(), this->openQueries});
@@ -323,7 +326,7 @@
                          }});
     }
     for (const AdmissionQuery &query : made.queries)
-        this->ask(query);
+        this->sendQuery(query);
     const Instant now = this->options.clock();
     this->waits.planned(made.waiting, now);
     if (now < this->nextPlanLog)
@@ -334,7 +337,7 @@
     logPlan(made.summary, this->openQueries, live);
 }
 
-/// Sends the starts of a placement that has been stored.
+/// Sends the start orders of a placement that has been stored.
 void Controller::placed(const PlaceRuns &command, CommandOutcome outcome)
 {
     if (outcome != CommandOutcome::Applied || !this->leads) {
@@ -352,13 +355,14 @@
     std::uint32_t estimatedMs = 0;
     const bool isKnown = this->machine.read([&](const WorkflowStore &store) {
         const Workflow *workflow = store.find(command.step.workflow);
-        // A controller that has lost its lead and not heard of it, as after its disk has stalled,
-        // is told of its placement when a later one has finished the workflow already.
+        // A controller that has lost leadership without noticing, for example after its disk
+        // stalled, may learn of its placement when a later controller has already finished the
+        // workflow.
         if (workflow == nullptr || workflow->occurrences.empty())
             return false;
         order.payload = workflow->spec.payload;
         queue = workflow->spec.queue;
-        if (const QueuePolicy *policy = this->inForce.queue(queue))
+        if (const QueuePolicy *policy = this->currentPolicy.queue(queue))
             order.priority = policy->priority;
         account = workflow->spec.account;
         ageMs = this->options.calendarMs() - workflow->spec.dueAtMs(command.step.occurrence);
@@ -385,7 +389,7 @@
         const Placement &placement = command.placements[i];
         const auto incarnation = this->incarnations.find(placement.incarnation);
         if (incarnation == this->incarnations.end())
-            continue; // its life has ended meanwhile, and with it what was placed there
+            continue; // the incarnation has ended in the meantime, with all runs placed there
         order.task = {command.step, placement.index};
         if (incarnation->second.session->isOver()) {
             this->neverStarted(placement.incarnation, order.task, command.run);
@@ -408,17 +412,17 @@
     const Instant now = this->options.clock();
     this->lag = std::max(Microseconds(0), now - this->nextTickAt);
     this->nextTickAt = now + this->options.tick;
-    if (this->lag > lagToLog)
+    if (this->lag > loopLagLogThreshold)
         logLoopLag(std::chrono::duration_cast<Milliseconds>(this->lag));
-    std::vector<std::shared_ptr<TargetSession>> all; // a session that ends takes itself out
+    std::vector<std::shared_ptr<TargetSession>> all; // sessions that end are removed from the table
     all.reserve(this->incarnations.size());
     for (const auto &[incarnation, state] : this->incarnations)
         all.push_back(state.session);
     for (const auto &session : all)
         session->tick();
-    this->stopOrphans();
+    this->stopIncompleteGangs();
     this->forgetOld();
-    this->needsPlan = true; // tasks come due, and answers are asked for again, with time
+    this->needsPlan = true; // tasks become due and queries have to be repeated as time passes
     this->flush();
     this->options.runAfter(this->options.tick, [this, alive = this->alive, inTerm] {
         if (*alive)
@@ -444,23 +448,23 @@
             step = isLive || !step->second.asked.empty() ? std::next(step)
                                                          : this->admissions.erase(step);
         }
-        for (auto moved = this->movesOf.begin(); moved != this->movesOf.end();) {
+        for (auto moved = this->moveCounts.begin(); moved != this->moveCounts.end();) {
             const bool isLive = store.live().count(moved->first.step.workflow) != 0;
-            moved = isLive ? std::next(moved) : this->movesOf.erase(moved);
+            moved = isLive ? std::next(moved) : this->moveCounts.erase(moved);
         }
         for (auto claim = this->claims.begin(); claim != this->claims.end();)
             claim = claim->second.until < now ? this->claims.erase(claim) : std::next(claim);
     });
     this->waits.dropOld(now);
     if (!command.ids.empty())
-        this->add(std::move(command), [](const Result<CommandOutcome> &) {});
+        this->enqueue(std::move(command), [](const Result<CommandOutcome> &) {});
     std::vector<IncarnationId> silent;
     for (const auto &[incarnation, state] : this->incarnations) {
-        if (state.session->isForgettable(forgetSilence))
+        if (state.session->isForgettable(silenceTimeout))
             silent.push_back(incarnation);
     }
     for (const IncarnationId incarnation : silent)
-        this->lifeOver(incarnation, IncarnationEnd::Silent);
+        this->incarnationOver(incarnation, IncarnationEnd::Silent);
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -34,31 +34,33 @@
 struct ControllerOptions
 {
     SessionLimits session;
-    /// What a configuration document says about workflows.
+    /// Reads the workflow policy from a configuration document.
     std::function<Result<Policy>(const std::string &document)> readPolicy;
-    std::function<void(Microseconds delay, std::function<void()>)> runAfter; ///< on the loop
-    std::function<void(std::function<void()>)> post; ///< onto the loop, from any thread
+    /// Runs an action on the loop.
+    std::function<void(Microseconds delay, std::function<void()>)> runAfter;
+    /// Runs an action on the loop; may be called from any thread.
+    std::function<void(std::function<void()>)> post;
     std::function<std::int64_t()> calendarMs;
-    Metrics *metrics = nullptr; ///< null: nothing is counted
+    Metrics *metrics = nullptr; ///< null: no metrics are recorded
     Clock clock = monotonicNow;
-    Milliseconds tick{100}; ///< how often leases and times that come due are looked at
-    Milliseconds retention{180000}; ///< how long a workflow that is over can be asked for
+    Milliseconds tick{100}; ///< how often leases and due times are checked
+    Milliseconds retention{180000}; ///< how long a finished workflow remains available to queries
 };
 
-/// A target's report about itself.
+/// A report of a target about itself.
 struct TargetReport
 {
     TargetIdentity identity;
-    bool isReady = false; ///< false: it drains
-    Milliseconds coldFor{0}; ///< how much longer it is slow after its start
-    std::uint64_t sequence = 0; ///< grows within one life
+    bool isReady = false; ///< false: the target drains
+    Milliseconds coldFor{0}; ///< how much longer the target is slow after its start
+    std::uint64_t sequence = 0; ///< increases within one incarnation
 };
 
-/// Runs workflows while its replica leads: decides, has the decision stored, and acts.
+/// Runs workflows while its replica leads: makes decisions, has them stored, and carries them out.
 ///
-/// One batch of commands is under way at a time, and a plan is made only between two batches, on
-/// what is stored; so a plan never has to guess what becomes of the one before. Everything runs on
-/// one loop.
+/// Only one batch of commands is in progress at a time, and plans are made only between two
+/// batches, from the stored state; so a plan never has to predict the outcome of the previous one.
+/// Everything runs on one loop.
 class Controller
 {
 public:
@@ -68,38 +70,41 @@
     Controller(const Controller &) = delete;
     Controller &operator=(const Controller &) = delete;
 
-    /// This replica leads in \a term and has applied everything before it; or no longer leads.
+    /// This replica leads in \a term and has applied all earlier entries, or it no longer leads.
     void leadershipChanged(bool leads, std::uint64_t term);
 
-    /// True while no other controller can have decided since: then the book is current.
+    /// True while no other controller can have made decisions since: the store is then up to date.
     bool isCurrent() const;
 
-    /// \errors those of ReplicatedLog::propose(), for each of these.
+    /// \errors those of ReplicatedLog::propose(), also for the next three functions.
     void submit(WorkflowSpec spec, Done<CommandOutcome> done);
     void cancel(WorkflowId id, Done<CommandOutcome> done);
     void storeDocument(std::int64_t version, std::string text, Done<CommandOutcome> done);
-    /// Nothing more is started on the targets of \a failureDomain, or it is open again. What runs
-    /// there goes on. A repetition changes nothing; of contrary wishes the one stored last holds.
+    /// Evacuates \a failureDomain, so that nothing new is started on its targets, or reopens it.
+    /// Runs on its targets go on. Repeating a call has no effect; of contradictory calls the one
+    /// stored last is in effect.
     void evacuate(const std::string &failureDomain, bool isEvacuated, Done<CommandOutcome> done);
-    /// True if all targets known for \a queue take nothing new since their failure domains are
-    /// evacuated.
+    /// True if all known targets for \a queue are in evacuated failure domains.
     bool isFullyEvacuated(const std::string &queue) const;
-    /// Waits until a quorum has confirmed that this controller still led when asked.
+    /// Waits until a quorum has confirmed that this controller was still the leader at the time of
+    /// the call.
     void confirmLeadership(Done<Nothing> done);
 
-    /// A heartbeat. \a done: it is known, and nothing new will be started on a draining target.
+    /// Processes a heartbeat. \a done: called when the report is stored; from then on nothing new
+    /// is started on a draining target.
     void heartbeatReceived(const TargetReport &report, const Done<Nothing> &done);
-    /// A target has said that its life is over.
+    /// A target has announced that its incarnation is over.
     void targetLeft(const std::string &name, std::int64_t startedAtMs, const Done<Nothing> &done);
 
     const WorkflowStoreMachine &store() const { return this->machine; }
-    const Policy &policy() const { return this->inForce; }
-    /// Targets that new work may go to.
+    const Policy &policy() const { return this->currentPolicy; }
+    /// Number of targets that can receive new work.
     std::size_t usableTargets() const;
     std::size_t knownTargets() const { return this->incarnations.size(); }
-    /// How late the newest periodic action ran: what waits in the loop waits at least that long.
+    /// Delay of the latest periodic action: work that is queued on the loop waits at least that
+    /// long.
     Microseconds loopLag() const { return this->lag; }
-    /// Workflows of \a queue that are not over and of which, as far as is known here, no task has
+    /// Number of unfinished workflows of \a queue of which, as far as is known here, no task has
     /// begun on a target.
     std::size_t waitingIn(const std::string &queue) const;
 
@@ -109,7 +114,7 @@
         Command command;
         Done<CommandOutcome> done;
     };
-    /// Commands on their way through the log, without their content.
+    /// Commands that are being replicated, without their content.
     struct Proposed
     {
         std::uint64_t term = 0;
@@ -118,58 +123,58 @@
         std::vector<bool> isPlacement;
         std::vector<Done<Nothing>> barriers;
     };
-    struct LifeState
+    struct TargetState
     {
         std::shared_ptr<TargetSession> session;
         std::uint64_t sequence = 0; ///< of the newest report
         ProgressMonitor progress;
     };
 
-    void add(Command command, Done<CommandOutcome> done);
+    void enqueue(Command command, Done<CommandOutcome> done);
     void flush();
     void flushNow();
     void planLater();
     void propose(std::vector<Pending> batch);
     void batchStored(const Proposed &proposed, const Result<std::string> &outcome);
-    static void tellOutcomes(const Proposed &proposed, const Result<CommandOutcomes> &outcomes);
+    static void reportOutcomes(const Proposed &proposed, const Result<CommandOutcomes> &outcomes);
     void plan(std::vector<Pending> &batch);
     std::vector<OpenTarget> openTargets(const WorkflowStore &store) const;
     void placed(const PlaceRuns &command, CommandOutcome outcome);
     void countFirstStart(const PlaceRuns &command, const WorkflowStore &store) const;
-    void countOver(const std::vector<WorkflowId> &touched, std::int64_t atMs);
-    void settle(const std::vector<WorkflowId> &touched, std::int64_t atMs);
-    void noteCrash(IncarnationId incarnation, IncarnationEnd how);
+    void countFinished(const std::vector<WorkflowId> &touched, std::int64_t atMs);
+    void finishWorkflows(const std::vector<WorkflowId> &touched, std::int64_t atMs);
+    void recordCrash(IncarnationId incarnation, IncarnationEnd how);
     void crashStored(IncarnationId incarnation, const std::vector<TaskAddress> &tasks,
                      std::int64_t atMs);
-    void noteAlive(IncarnationId incarnation);
+    void recordAlive(IncarnationId incarnation);
     bool hasBegun(const Workflow &workflow) const;
-    void takeReport(IncarnationId incarnation, const TargetReport &report,
-                    const Done<Nothing> &done);
+    void applyReport(IncarnationId incarnation, const TargetReport &report,
+                     const Done<Nothing> &done);
     void setDraining(IncarnationId incarnation, bool isDraining, const Done<Nothing> &done);
     void domainChanged(const std::string &failureDomain, bool isEvacuated, CommandOutcome outcome);
-    void ask(const AdmissionQuery &query);
-    void answered(const AdmissionQuery &query, Instant askedAt,
-                  const Result<AdmissionPort::Admitted> &answer);
+    void sendQuery(const AdmissionQuery &query);
+    void queryAnswered(const AdmissionQuery &query, Instant askedAt,
+                       const Result<AdmissionPort::Admitted> &answer);
 
     TargetSession &openSession(IncarnationId incarnation, const IncarnationRecord &record);
-    void openAll();
-    void beginSome(std::size_t most);
+    void openSessions();
+    void startSessions(std::size_t maxCount);
     void runsOver(IncarnationId incarnation, std::vector<RunEnd> ends);
-    void lifeOver(IncarnationId incarnation, IncarnationEnd how);
+    void incarnationOver(IncarnationId incarnation, IncarnationEnd how);
     void neverStarted(IncarnationId incarnation, const TaskAddress &task, RunNumber run);
-    void forgetLife(IncarnationId incarnation);
+    void forgetIncarnation(IncarnationId incarnation);
     using PlacedTasks = std::vector<std::pair<IncarnationId, TaskAddress>>;
     static void addPlaced(const StepAddress &address, const StepProgress &step, PlacedTasks &to);
     void stopAll(WorkflowId id, std::string_view why, const PlacedTasks &placed);
     void stopPlaced(WorkflowId id);
-    void stopOrphans();
+    void stopIncompleteGangs();
     void runsListed(IncarnationId incarnation, const std::vector<RunningTask> &running);
-    std::vector<ExpectedRun> expectedOf(const std::vector<RunningTask> &running) const;
+    std::vector<ExpectedRun> expectedRuns(const std::vector<RunningTask> &running) const;
     void moveStalled(IncarnationId incarnation, const ProgressMonitor &progress);
     void refreshPolicy();
     void tick(std::uint64_t inTerm);
     void forgetOld();
-    /// The policy of the queue that the workflow is in, or null.
+    /// The policy of the workflow's queue, or null.
     const QueuePolicy *queueOf(WorkflowId id, const WorkflowStore &store) const;
     Error notLeading() const;
 
@@ -189,20 +194,23 @@
     Instant nextPlanAt{};
     Instant nextTickAt{};
     Microseconds lag{0};
-    std::set<WorkflowId> countedOver; ///< by the commands of countedAtMs
+    std::set<WorkflowId> countedWorkflows; ///< finished by the commands of countedAtMs
     std::int64_t countedAtMs = 0;
     std::vector<Pending> pending;
     std::vector<Done<Nothing>> waitingBarriers;
-    std::map<IncarnationId, LifeState> incarnations;
-    std::deque<IncarnationId> unbegun; ///< whose sessions have not asked their targets yet
+    std::map<IncarnationId, TargetState> incarnations;
+    /// Incarnations whose sessions have not polled their targets yet.
+    std::deque<IncarnationId> sessionsToStart;
     TargetHealth health;
-    std::map<TaskAddress, unsigned> movesOf; ///< runs stopped because their target had stalled
+    /// Number of runs stopped because their target had stalled.
+    std::map<TaskAddress, unsigned> moveCounts;
     AdmissionTable admissions;
     AdmittedFractions admittedFractions;
     ClaimTable claims;
     WaitTimeTracker waits;
-    std::map<StepAddress, Instant> orphansSince; ///< gangs that have lost members
-    Policy inForce;
+    /// When each incomplete gang was first seen.
+    std::map<StepAddress, Instant> incompleteGangsSince;
+    Policy currentPolicy;
     std::int64_t policyVersion = -1;
     Instant nextForget{};
     Instant nextPlanLog{};
--- a/src/workflows/controlleradmissions.cpp
+++ b/src/workflows/controlleradmissions.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// For an answer about admissions: three of the slowest questions that objectives allow for.
-constexpr Milliseconds adviceLimit{3000};
-/// Before a question that failed is asked again.
-constexpr Milliseconds adviceRetryPause{100};
-/// What may pass between the making of a ticket and its arrival here.
-constexpr Milliseconds ticketAge{100};
-/// Room is kept for a step no longer than this: a question about a few targets takes 0.6 s.
-constexpr Milliseconds claimLimit{1500};
+/// Timeout of an admission query: three times the slowest query that objectives allow for.
+constexpr Milliseconds admissionQueryTimeout{3000};
+/// Delay before a failed query is repeated.
+constexpr Milliseconds admissionRetryDelay{100};
+/// The most that may pass between the creation of a ticket and its arrival here.
+constexpr Milliseconds maxTicketAge{100};
+/// Capacity is claimed for a step no longer than this: a query about a few targets takes 0.6 s.
+constexpr Milliseconds claimDuration{1500};
 
 } // namespace
 
-void Controller::ask(const AdmissionQuery &query)
+void Controller::sendQuery(const AdmissionQuery &query)
 {
     std::vector<std::string> names;
     double expectedMs = 0.0;
@@ -41,26 +41,26 @@
     });
     std::set<IncarnationId> &asked = this->admissions[query.step].asked;
     if (asked.empty())
-        this->claims.erase(query.step); // of an earlier round
+        this->claims.erase(query.step); // left from an earlier query
     asked.insert(query.targets.begin(), query.targets.end());
     if (!query.claim.empty()) {
         Claim &claim = this->claims[query.step];
         claim.tasks.insert(query.claim.begin(), query.claim.end());
-        claim.until = this->options.clock() + claimLimit;
+        claim.until = this->options.clock() + claimDuration;
     }
     ++this->openQueries;
     this->admissionPort.ask(
         query.step, names, Milliseconds(static_cast<std::int64_t>(expectedMs)),
-        this->options.clock() + adviceLimit,
+        this->options.clock() + admissionQueryTimeout,
         [this, alive = this->alive, inTerm = this->term, query,
          now = this->options.clock()](const Result<AdmissionPort::Admitted> &answer) {
             if (*alive && this->leads && this->term == inTerm)
-                this->answered(query, now, answer);
+                this->queryAnswered(query, now, answer);
         });
 }
 
-void Controller::answered(const AdmissionQuery &query, Instant askedAt,
-                          const Result<AdmissionPort::Admitted> &answer)
+void Controller::queryAnswered(const AdmissionQuery &query, Instant askedAt,
+                               const Result<AdmissionPort::Admitted> &answer)
 {
     --this->openQueries;
     const Instant now = this->options.clock();
@@ -76,7 +76,7 @@
     for (const IncarnationId incarnation : query.targets)
         known.asked.erase(incarnation);
     if (!answer) {
-        known.nextQueryAt = now + adviceRetryPause;
+        known.nextQueryAt = now + admissionRetryDelay;
         this->claims.erase(query.step);
         logAdmissionFailed(query.step, answer.error());
         return;
@@ -99,8 +99,8 @@
                 known.refused.insert(incarnation);
                 continue;
             }
-            known.admitted[incarnation] = {ticket->second,
-                                           now + Milliseconds(queue->admissionValidMs) - ticketAge};
+            known.admitted[incarnation] = {
+                ticket->second, now + Milliseconds(queue->admissionValidMs) - maxTicketAge};
         }
     });
     logAdmissionAnswered(query.step, query.targets.size(), answer.value().size());
--- a/src/workflows/controllercounts.cpp
+++ b/src/workflows/controllercounts.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <utility>
 
-// What the controller counts, for metrics and for callers.
+// Counts for metrics and for callers.
 
 namespace guavavalve::workflows {
 
-/// All tasks that have been placed in the occurrence are those of this command, and their first
-/// runs.
+/// Counts the occurrence as started if the tasks of this command are the only ones placed in it so
+/// far and this is their first run.
 void Controller::countFirstStart(const PlaceRuns &command, const WorkflowStore &store) const
 {
     const Workflow &workflow = *store.find(command.step.workflow);
@@ -23,21 +23,21 @@
         this->metrics.started(workflow.spec, command.step.occurrence, this->options.calendarMs());
 }
 
-/// Those that a command of \a atMs has finished.
+/// Counts the workflows that a command of \a atMs has finished.
 ///
-/// Guards against counting one twice: several commands of one millisecond may have touched it.
-/// Those of one batch all see the state after it; and once one member of a gang has ended the
-/// workflow, the others' ends are stored with the next batch.
-void Controller::countOver(const std::vector<WorkflowId> &touched, std::int64_t atMs)
+/// Guards against counting a workflow twice: several commands of one millisecond may have touched
+/// it. Commands of one batch all see the state after the batch; and once one member of a gang has
+/// ended the workflow, the ends of the other members are stored with the next batch.
+void Controller::countFinished(const std::vector<WorkflowId> &touched, std::int64_t atMs)
 {
     if (std::exchange(this->countedAtMs, atMs) != atMs)
-        this->countedOver.clear();
+        this->countedWorkflows.clear();
     this->machine.read([&](const WorkflowStore &store) {
         for (const WorkflowId id : touched) {
             const Workflow *workflow = store.find(id);
             const bool isOver =
                 workflow != nullptr && workflow->isOver() && workflow->endedAtMs == atMs;
-            if (isOver && this->countedOver.insert(id).second) {
+            if (isOver && this->countedWorkflows.insert(id).second) {
                 this->metrics.over(*workflow, atMs);
                 logWorkflowEnded(*workflow, atMs);
             }
@@ -57,9 +57,9 @@
     });
 }
 
-/// Guards against a count that is too low while targets have just gone dark, and after a change of
-/// controller: that a start is stored does not say that it has arrived. What is stored of ends and
-/// checkpoints does, and so do the targets' answers and lists.
+/// Guards against a count that is too low when targets have just become unreachable, and after a
+/// change of controller: a stored start does not imply that the start has arrived. Stored ends and
+/// checkpoints do, and so do the targets' answers and lists.
 bool Controller::hasBegun(const Workflow &workflow) const
 {
     const auto isBegun = [&](const TaskProgress &task, const TaskAddress &address) {
--- a/src/workflows/controllercrashes.cpp
+++ b/src/workflows/controllercrashes.cpp
@@ -5,12 +5,13 @@
 #include <map>
 #include <vector>
 
-// What the controller makes of targets that are gone with work on them.
+// Handling of targets that are gone with work on them.
 
 namespace guavavalve::workflows {
 
-/// Its process is gone. Said to the book after the ends of what was placed there.
-void Controller::noteCrash(IncarnationId incarnation, IncarnationEnd how)
+/// Records that the process of \a incarnation is gone. Must be called after the ends of the runs
+/// placed there have been queued.
+void Controller::recordCrash(IncarnationId incarnation, IncarnationEnd how)
 {
     if (how == IncarnationEnd::Left)
         return;
@@ -24,7 +25,7 @@
         return;
     this->metrics.targetCrashed();
     const std::int64_t atMs = this->options.calendarMs();
-    this->add(
+    this->enqueue(
         MarkIncarnationCrashed{incarnation, atMs},
         [this, incarnation, atMs, tasks = std::move(tasks)](const Result<CommandOutcome> &outcome) {
             if (outcome && outcome.value() == CommandOutcome::Applied)
@@ -49,21 +50,22 @@
         }
     });
     logCrash(incarnation, counts, givenUp);
-    this->settle(touched, atMs);
+    this->finishWorkflows(touched, atMs);
 }
 
-/// It answers: what was lost there was lost to a cut or to a lease that ran out.
-void Controller::noteAlive(IncarnationId incarnation)
+/// The target answers: runs counted as lost there were lost to a broken connection or an expired
+/// lease.
+void Controller::recordAlive(IncarnationId incarnation)
 {
     const bool isInDoubt = this->machine.read(
-        [&](const WorkflowStore &store) { return store.losses().hasOpen(incarnation); });
+        [&](const WorkflowStore &store) { return store.losses().hasOpenLosses(incarnation); });
     if (!isInDoubt)
         return;
-    this->add(MarkIncarnationAlive{incarnation},
-              [incarnation](const Result<CommandOutcome> &outcome) {
-                  if (outcome && outcome.value() == CommandOutcome::Applied)
-                      logTargetAlive(incarnation);
-              });
+    this->enqueue(MarkIncarnationAlive{incarnation},
+                  [incarnation](const Result<CommandOutcome> &outcome) {
+                      if (outcome && outcome.value() == CommandOutcome::Applied)
+                          logTargetAlive(incarnation);
+                  });
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/controllerdomains.cpp
+++ b/src/workflows/controllerdomains.cpp
@@ -8,18 +8,18 @@
 
 namespace guavavalve::workflows {
 
-/// Acknowledged once it is stored, like the draining of one target. From then on no placement there
-/// is accepted, whichever controller has decided it.
+/// Acknowledged once it is stored, as the draining of a single target is. From then on no placement
+/// there is accepted, whichever controller has decided it.
 void Controller::evacuate(const std::string &failureDomain, bool isEvacuated,
                           Done<CommandOutcome> done)
 {
-    this->add(EvacuateDomain{failureDomain, isEvacuated},
-              [this, failureDomain, isEvacuated,
-               done = std::move(done)](const Result<CommandOutcome> &outcome) {
-                  if (outcome && this->leads)
-                      this->domainChanged(failureDomain, isEvacuated, outcome.value());
-                  done(outcome);
-              });
+    this->enqueue(EvacuateDomain{failureDomain, isEvacuated},
+                  [this, failureDomain, isEvacuated,
+                   done = std::move(done)](const Result<CommandOutcome> &outcome) {
+                      if (outcome && this->leads)
+                          this->domainChanged(failureDomain, isEvacuated, outcome.value());
+                      done(outcome);
+                  });
 }
 
 void Controller::domainChanged(const std::string &failureDomain, bool isEvacuated,
@@ -40,7 +40,7 @@
 
 bool Controller::isFullyEvacuated(const std::string &queue) const
 {
-    const QueuePolicy *policy = this->inForce.queue(queue);
+    const QueuePolicy *policy = this->currentPolicy.queue(queue);
     if (policy == nullptr)
         return false;
     return this->machine.read([&](const WorkflowStore &store) {
--- a/src/workflows/controllerstops.cpp
+++ b/src/workflows/controllerstops.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Members of a gang that has lost others are broken off by their targets; those that are not
-/// within this time are stopped.
-constexpr Milliseconds orphanPatience{1000};
-/// A task is moved off stalled targets this often at the most: it may be its own fault.
-constexpr unsigned mostMoves = 2;
+/// Targets stop the remaining members of a gang that has lost some. Members that still run after
+/// this time are stopped by the controller.
+constexpr Milliseconds incompleteGangTimeout{1000};
+/// How often a task is moved off stalled targets at most: the task itself may be the cause.
+constexpr unsigned maxMovesPerTask = 2;
 
 } // namespace
 
@@ -55,12 +55,13 @@
     this->stopAll(id, "cancelled or failed", placed);
 }
 
-/// Stops what is left of a gang that has lost members, if the targets do not break it off.
-void Controller::stopOrphans()
+/// Stops the remaining members of incomplete gangs that their targets have not stopped by
+/// themselves.
+void Controller::stopIncompleteGangs()
 {
     const Instant now = this->options.clock();
     std::map<StepAddress, Instant> since;
-    std::map<WorkflowId, PlacedTasks> orphans;
+    std::map<WorkflowId, PlacedTasks> remaining;
     this->machine.read([&](const WorkflowStore &store) {
         for (const WorkflowId id : store.live()) {
             const Workflow &workflow = *store.find(id);
@@ -72,21 +73,22 @@
                     if (!isBroken)
                         continue;
                     const StepAddress address{id, k, static_cast<std::uint16_t>(i)};
-                    const auto before = this->orphansSince.find(address);
-                    const Instant began = before == this->orphansSince.end() ? now : before->second;
+                    const auto before = this->incompleteGangsSince.find(address);
+                    const Instant began =
+                        before == this->incompleteGangsSince.end() ? now : before->second;
                     since[address] = began;
-                    if (now > began + orphanPatience)
-                        addPlaced(address, step, orphans[id]);
+                    if (now > began + incompleteGangTimeout)
+                        addPlaced(address, step, remaining[id]);
                 }
             }
         }
     });
-    this->orphansSince = std::move(since);
-    for (const auto &[id, placed] : orphans)
-        this->stopAll(id, "members of its gang are gone", placed);
+    this->incompleteGangsSince = std::move(since);
+    for (const auto &[id, placed] : remaining)
+        this->stopAll(id, "members of its gang were lost", placed);
 }
 
-std::vector<ExpectedRun> Controller::expectedOf(const std::vector<RunningTask> &running) const
+std::vector<ExpectedRun> Controller::expectedRuns(const std::vector<RunningTask> &running) const
 {
     std::vector<ExpectedRun> expected;
     this->machine.read([&](const WorkflowStore &store) {
@@ -107,16 +109,16 @@
     const auto found = this->incarnations.find(incarnation);
     if (found == this->incarnations.end())
         return;
-    this->noteAlive(incarnation);
+    this->recordAlive(incarnation);
     ProgressMonitor &progress = found->second.progress;
-    progress.listed(running, this->expectedOf(running), this->options.clock());
+    progress.listed(running, this->expectedRuns(running), this->options.clock());
     if (progress.isStalled())
         this->moveStalled(incarnation, progress);
 }
 
-/// Guards against work that waits for a target that answers and does nothing: for 3 to 7 s its runs
-/// stood still, and what was given to it meanwhile as well; three quarters of the short workflows
-/// that came too late to be of use had a run on such a target.
+/// Guards against work that waits for a target that answers but makes no progress: runs stood still
+/// for 3 to 7 s, as did work assigned in the meantime; three quarters of the short workflows that
+/// finished too late to be of use had a run on such a target.
 void Controller::moveStalled(IncarnationId incarnation, const ProgressMonitor &progress)
 {
     const Instant now = this->options.clock();
@@ -125,9 +127,9 @@
     logTargetTrust(incarnation, before, this->health.trust(incarnation, now));
     const std::shared_ptr<TargetSession> session = this->incarnations.at(incarnation).session;
     for (const TaskAddress &task : progress.runsWorthMoving(this->options.session.stopLimit)) {
-        if (this->movesOf[task] >= mostMoves || !session->stop(task))
+        if (this->moveCounts[task] >= maxMovesPerTask || !session->stop(task))
             continue;
-        ++this->movesOf[task];
+        ++this->moveCounts[task];
         logRunMoved(incarnation, task);
     }
 }
--- a/src/workflows/controllertargets.cpp
+++ b/src/workflows/controllertargets.cpp
@@ -11,48 +11,49 @@
 
 namespace {
 
-/// Of a task whose queue is gone: nobody may call it failed.
-constexpr std::uint16_t neverFailed = 1000;
-/// Targets that a new controller asks at once, and then for each pause: 2,000 a second.
-constexpr std::size_t askedAtOnce = 400;
-constexpr std::size_t askedPerPause = 20;
-constexpr Milliseconds askPause{10};
+/// Failure limit of a task whose queue no longer exists: it must never count as failed.
+constexpr std::uint16_t unlimitedFailures = 1000;
+/// Number of targets that a new controller polls at once, and then after each pause: 2,000 a
+/// second.
+constexpr std::size_t initialSessionBatch = 400;
+constexpr std::size_t sessionBatch = 20;
+constexpr Milliseconds sessionBatchInterval{10};
 
 } // namespace
 
-/// Those with runs come first: their leases run out.
+/// Targets with runs are polled first, because their leases expire.
 ///
-/// Guards against a controller of thousands of targets that asks all of them at once: the replicas
-/// had no processor time left for the log, elected another, and that one did the same.
-void Controller::openAll()
+/// Guards against a controller that polls thousands of targets at once: the replicas had no
+/// processor time left for the log and elected another leader, which did the same.
+void Controller::openSessions()
 {
     const IncarnationTable known =
         this->machine.read([](const WorkflowStore &store) { return store.incarnations(); });
     for (const auto &[incarnation, record] : known) {
         this->openSession(incarnation, record);
         if (!record.placed.empty())
-            this->unbegun.push_back(incarnation);
+            this->sessionsToStart.push_back(incarnation);
     }
     for (const auto &[incarnation, record] : known) {
         if (record.placed.empty())
-            this->unbegun.push_back(incarnation);
+            this->sessionsToStart.push_back(incarnation);
     }
-    this->beginSome(askedAtOnce);
+    this->startSessions(initialSessionBatch);
 }
 
-void Controller::beginSome(std::size_t most)
+void Controller::startSessions(std::size_t maxCount)
 {
-    for (std::size_t i = 0; i < most && !this->unbegun.empty(); ++i) {
-        const auto found = this->incarnations.find(this->unbegun.front());
-        this->unbegun.pop_front();
+    for (std::size_t i = 0; i < maxCount && !this->sessionsToStart.empty(); ++i) {
+        const auto found = this->incarnations.find(this->sessionsToStart.front());
+        this->sessionsToStart.pop_front();
         if (found != this->incarnations.end())
             found->second.session->begin();
     }
-    if (this->unbegun.empty())
+    if (this->sessionsToStart.empty())
         return;
-    this->options.runAfter(askPause, [this, alive = this->alive, inTerm = this->term] {
+    this->options.runAfter(sessionBatchInterval, [this, alive = this->alive, inTerm = this->term] {
         if (*alive && this->leads && this->term == inTerm)
-            this->beginSome(askedPerPause);
+            this->startSessions(sessionBatch);
     });
 }
 
@@ -69,7 +70,9 @@
         this->needsPlan = true;
         this->flush();
     };
-    hooks.lifeOver = [this, incarnation] { this->lifeOver(incarnation, IncarnationEnd::Replaced); };
+    hooks.incarnationOver = [this, incarnation] {
+        this->incarnationOver(incarnation, IncarnationEnd::Replaced);
+    };
     hooks.runAfter = this->options.runAfter;
     hooks.isCurrent = [this] { return this->isCurrent(); };
     hooks.ownLag = [this] { return this->lag; };
@@ -86,7 +89,7 @@
         }
     });
     this->incarnations[incarnation].session = session;
-    session->heard(!record.isDraining);
+    session->recordHeartbeat(!record.isDraining);
     session->setEvacuated(this->machine.read([&](const WorkflowStore &store) {
         return store.evacuatedDomains().count(record.identity.failureDomain) != 0;
     }));
@@ -106,7 +109,7 @@
     this->machine.read([&](const WorkflowStore &store) {
         for (RunEnd &end : ends) {
             const QueuePolicy *queue = this->queueOf(end.task.step.workflow, store);
-            end.maxFailures = queue == nullptr ? neverFailed : queue->maxFailures;
+            end.maxFailures = queue == nullptr ? unlimitedFailures : queue->maxFailures;
         }
     });
     logRunsEnded(incarnation, ends);
@@ -122,24 +125,22 @@
     logTargetTrust(incarnation, before, this->health.trust(incarnation, now));
     const std::int64_t atMs = this->options.calendarMs();
     EndRuns command{std::move(ends), atMs};
-    this->add(
-        std::move(command),
-        [this, incarnation, atMs,
-         touched = std::move(touched)](const Result<CommandOutcome> &outcome) {
-            if (!outcome)
-                return; // leadership is lost: the next controller learns of the ends by itself
-            this->settle(touched, atMs);
-            const auto found = this->incarnations.find(incarnation);
-            if (found != this->incarnations.end())
-                found->second.session->committed();
-        });
+    this->enqueue(std::move(command),
+                  [this, incarnation, atMs,
+                   touched = std::move(touched)](const Result<CommandOutcome> &outcome) {
+                      if (!outcome)
+                          return; // leadership is lost: the next controller polls for the ends
+                      this->finishWorkflows(touched, atMs);
+                      const auto found = this->incarnations.find(incarnation);
+                      if (found != this->incarnations.end())
+                          found->second.session->committed();
+                  });
 }
 
-/// Counts workflows that a command of \a atMs has brought to their end, and stops what is left of
-/// them.
-void Controller::settle(const std::vector<WorkflowId> &touched, std::int64_t atMs)
+/// Counts the workflows that a command of \a atMs has finished, and stops their remaining runs.
+void Controller::finishWorkflows(const std::vector<WorkflowId> &touched, std::int64_t atMs)
 {
-    this->countOver(touched, atMs);
+    this->countFinished(touched, atMs);
     for (const WorkflowId id : touched) {
         const bool isLeft = this->machine.read([&](const WorkflowStore &store) {
             const Workflow *workflow = store.find(id);
@@ -150,26 +151,26 @@
     }
 }
 
-void Controller::lifeOver(IncarnationId incarnation, IncarnationEnd how)
+void Controller::incarnationOver(IncarnationId incarnation, IncarnationEnd how)
 {
     const auto found = this->incarnations.find(incarnation);
     if (found == this->incarnations.end())
         return;
     logTargetEnded(found->second.session->identity(), how);
     const std::shared_ptr<TargetSession> session = found->second.session;
-    session->declareOver();
-    this->noteCrash(incarnation, how);
-    this->forgetLife(incarnation);
+    session->declareLost();
+    this->recordCrash(incarnation, how);
+    this->forgetIncarnation(incarnation);
 }
 
-void Controller::forgetLife(IncarnationId incarnation)
+void Controller::forgetIncarnation(IncarnationId incarnation)
 {
-    this->add(ForgetIncarnation{incarnation},
-              [this, incarnation](const Result<CommandOutcome> &outcome) {
-                  if (outcome && outcome.value() != CommandOutcome::Rejected)
-                      this->incarnations.erase(incarnation);
-                  this->health.forget(incarnation);
-              });
+    this->enqueue(ForgetIncarnation{incarnation},
+                  [this, incarnation](const Result<CommandOutcome> &outcome) {
+                      if (outcome && outcome.value() != CommandOutcome::Rejected)
+                          this->incarnations.erase(incarnation);
+                      this->health.forget(incarnation);
+                  });
 }
 
 void Controller::heartbeatReceived(const TargetReport &report, const Done<Nothing> &done)
@@ -184,53 +185,54 @@
     const std::int64_t born =
         known == this->incarnations.end() ? -1 : known->second.session->identity().startedAtMs;
     if (born > report.identity.startedAtMs) {
-        done(Nothing{}); // delayed, from an earlier life: it changes nothing
+        done(Nothing{}); // a delayed report of an earlier incarnation has no effect
         return;
     }
     if (born == report.identity.startedAtMs) {
         if (report.sequence >= known->second.sequence) {
             known->second.sequence = report.sequence;
-            known->second.session->heard(report.isReady, report.coldFor);
-            this->takeReport(newest, report, done);
+            known->second.session->recordHeartbeat(report.isReady, report.coldFor);
+            this->applyReport(newest, report, done);
             return;
         }
         done(Nothing{});
         return;
     }
     if (born >= 0)
-        this->lifeOver(newest, IncarnationEnd::Reborn);
+        this->incarnationOver(newest, IncarnationEnd::Reborn);
     const std::string name = report.identity.name;
-    this->add(RegisterIncarnation{report.identity},
-              [this, name, report, done](const Result<CommandOutcome> &outcome) {
-                  if (!outcome) {
-                      done(outcome.error());
-                      return;
-                  }
-                  IncarnationId incarnation = IncarnationId::None;
-                  IncarnationRecord record;
-                  this->machine.read([&](const WorkflowStore &store) {
-                      incarnation = store.newestIncarnation(name);
-                      if (const IncarnationRecord *found = store.find(incarnation))
-                          record = *found;
+    this->enqueue(RegisterIncarnation{report.identity},
+                  [this, name, report, done](const Result<CommandOutcome> &outcome) {
+                      if (!outcome) {
+                          done(outcome.error());
+                          return;
+                      }
+                      IncarnationId incarnation = IncarnationId::None;
+                      IncarnationRecord record;
+                      this->machine.read([&](const WorkflowStore &store) {
+                          incarnation = store.newestIncarnation(name);
+                          if (const IncarnationRecord *found = store.find(incarnation))
+                              record = *found;
+                      });
+                      if (this->leads && incarnation != IncarnationId::None
+                          && this->incarnations.count(incarnation) == 0
+                          && record.identity.startedAtMs == report.identity.startedAtMs) {
+                          logTargetStarted(record.identity);
+                          this->openSession(incarnation, record).begin();
+                          this->incarnations[incarnation].sequence = report.sequence;
+                          this->incarnations[incarnation].session->recordHeartbeat(report.isReady,
+                                                                                   report.coldFor);
+                          this->setDraining(incarnation, !report.isReady, done);
+                          return;
+                      }
+                      done(Nothing{});
                   });
-                  if (this->leads && incarnation != IncarnationId::None
-                      && this->incarnations.count(incarnation) == 0
-                      && record.identity.startedAtMs == report.identity.startedAtMs) {
-                      logTargetStarted(record.identity);
-                      this->openSession(incarnation, record).begin();
-                      this->incarnations[incarnation].sequence = report.sequence;
-                      this->incarnations[incarnation].session->heard(report.isReady,
-                                                                     report.coldFor);
-                      this->setDraining(incarnation, !report.isReady, done);
-                      return;
-                  }
-                  done(Nothing{});
-              });
 }
 
-/// What it says that may change during a life. Acknowledged once it is stored.
-void Controller::takeReport(IncarnationId incarnation, const TargetReport &report,
-                            const Done<Nothing> &done)
+/// Applies the parts of a report that may change during an incarnation. Acknowledged once they are
+/// stored.
+void Controller::applyReport(IncarnationId incarnation, const TargetReport &report,
+                             const Done<Nothing> &done)
 {
     Resources before;
     this->machine.read([&](const WorkflowStore &store) {
@@ -251,7 +253,8 @@
             logTargetResized(report.identity, before);
         this->setDraining(incarnation, !report.isReady, done);
     };
-    this->add(ResizeIncarnation{incarnation, report.identity.capacity, report.sequence}, resized);
+    this->enqueue(ResizeIncarnation{incarnation, report.identity.capacity, report.sequence},
+                  resized);
 }
 
 /// Acknowledged once it is stored: a controller that takes over a moment later must not start
@@ -266,13 +269,13 @@
         done(Nothing{});
         return;
     }
-    this->add(SetIncarnationDraining{incarnation, isDraining},
-              [done](const Result<CommandOutcome> &outcome) {
-                  if (outcome)
-                      done(Nothing{});
-                  else
-                      done(outcome.error());
-              });
+    this->enqueue(SetIncarnationDraining{incarnation, isDraining},
+                  [done](const Result<CommandOutcome> &outcome) {
+                      if (outcome)
+                          done(Nothing{});
+                      else
+                          done(outcome.error());
+                  });
 }
 
 void Controller::targetLeft(const std::string &name, std::int64_t startedAtMs,
@@ -285,31 +288,31 @@
     const IncarnationId newest = this->machine.read(
         [&](const WorkflowStore &store) { return store.newestIncarnation(name); });
     const auto known = this->incarnations.find(newest);
-    const bool isThisLife = known != this->incarnations.end()
+    const bool isThisIncarnation = known != this->incarnations.end()
         && (startedAtMs == 0 || known->second.session->identity().startedAtMs == startedAtMs);
-    if (isThisLife && !known->second.session->isOver()) {
+    if (isThisIncarnation && !known->second.session->isOver()) {
         logTargetEnded(known->second.session->identity(), IncarnationEnd::Left);
-        known->second.session->leave([this, newest] { this->forgetLife(newest); });
+        known->second.session->leave([this, newest] { this->forgetIncarnation(newest); });
     }
     done(Nothing{});
 }
 
-/// A placement that was under way when its target's life was found to be over: no order for it
-/// has been sent, and none will be.
+/// Ends a run whose placement was being stored when its incarnation was found to be over: no order
+/// for it has been sent, and none will be.
 void Controller::neverStarted(IncarnationId incarnation, const TaskAddress &task, RunNumber run)
 {
     RunEnd end;
     end.task = task;
     end.run = run;
     end.outcome = RunOutcome::NeverStarted;
-    this->add(EndRuns{{end}, this->options.calendarMs()}, nullptr);
-    this->forgetLife(incarnation);
+    this->enqueue(EndRuns{{end}, this->options.calendarMs()}, nullptr);
+    this->forgetIncarnation(incarnation);
 }
 
 const QueuePolicy *Controller::queueOf(WorkflowId id, const WorkflowStore &store) const
 {
     const Workflow *workflow = store.find(id);
-    return workflow == nullptr ? nullptr : this->inForce.queue(workflow->spec.queue);
+    return workflow == nullptr ? nullptr : this->currentPolicy.queue(workflow->spec.queue);
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/ids.h
+++ b/src/workflows/ids.h
@@ -7,13 +7,14 @@
 
 namespace guavavalve::workflows {
 
-/// A workflow's identity, chosen by its caller.
+/// Identity of a workflow, chosen by its caller.
 enum class WorkflowId : std::uint64_t { None = 0 };
 
-/// One life of a target's process, numbered in the order in which lives were first heard of.
+/// One incarnation of a target, that is, one lifetime of its process. Numbered in the order in
+/// which incarnations were registered.
 enum class IncarnationId : std::uint32_t { None = 0 };
 
-/// The how-manieth start of a task; the first is 1. Members of a gang share the number.
+/// Counts the starts of a task from 1. All members of a gang share the number.
 using RunNumber = std::uint32_t;
 
 /// One step of one occurrence of a workflow.
--- a/src/workflows/incarnationend.h
+++ b/src/workflows/incarnationend.h
@@ -6,12 +6,12 @@
 
 namespace guavavalve::workflows {
 
-/// How a controller has learned that a target's life is over.
+/// How a controller learned that an incarnation of a target is over.
 enum class IncarnationEnd : std::uint8_t {
-    Left, ///< it has said goodbye
-    Reborn, ///< a later life of the target has reported itself
-    Replaced, ///< another life, or another target, answers at its address
-    Silent, ///< nothing has been heard of it for long
+    Left, ///< the target announced that it leaves
+    Reborn, ///< a later incarnation of the target has reported
+    Replaced, ///< another incarnation, or another target, answers at its address
+    Silent, ///< nothing has been received from it for a long time
 };
 
 inline constexpr EnumNames<IncarnationEnd, 4> incarnationEndNames{{
--- a/src/workflows/incarnationtable.h
+++ b/src/workflows/incarnationtable.h
@@ -7,13 +7,13 @@
 
 namespace guavavalve::workflows {
 
-/// A target's life with what is placed on it.
+/// An incarnation of a target, with the tasks that are placed on it.
 struct IncarnationRecord
 {
     TargetIdentity identity;
-    Resources used; ///< by what is placed, whether it runs, is on its way or is being stopped
+    Resources used; ///< by all placed tasks, whether running, being started or being stopped
     std::set<TaskAddress> placed;
-    bool isDraining = false; ///< takes nothing new
+    bool isDraining = false; ///< receives no new work
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/losscount.h
+++ b/src/workflows/losscount.h
@@ -4,18 +4,19 @@
 
 namespace guavavalve::workflows {
 
-/// Targets that were lost while they ran a task.
+/// Counts the targets that were lost while they ran a task.
 struct LossCount
 {
-    std::uint16_t crashes = 0; ///< of these, targets that have crashed
-    std::uint16_t earlyCrashes = 0; ///< of the crashes, soon after the target had begun the task
-    std::uint16_t open = 0; ///< targets that may have crashed or be cut off
-    std::uint16_t earlyOpen = 0; ///< of the open ones, soon after the target had begun the task
+    std::uint16_t crashes = 0; ///< targets that crashed
+    std::uint16_t earlyCrashes = 0; ///< crashes soon after the target had begun the task
+    /// Targets that have either crashed or lost their connection; not known yet.
+    std::uint16_t openLosses = 0;
+    std::uint16_t earlyOpenLosses = 0; ///< open losses soon after the target had begun the task
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->crashes, this->earlyCrashes, this->open, this->earlyOpen);
+        archive(this->crashes, this->earlyCrashes, this->openLosses, this->earlyOpenLosses);
     }
 };
 
--- a/src/workflows/reportfilter.cpp
+++ b/src/workflows/reportfilter.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// What has not been repeated for this long after it could have been is dropped.
-constexpr Milliseconds keepFor{30000};
+/// Entries whose target has not reported for this long after its next report was due are dropped.
+constexpr Milliseconds entryTimeout{30000};
 
 bool isCold(const TargetReport &report)
 {
@@ -25,7 +25,7 @@
 {
     const std::lock_guard lock(this->mutex);
     const auto found = this->known.find(report.identity.name);
-    return found != this->known.end() && now < found->second.passAt
+    return found != this->known.end() && now < found->second.forwardAt
         && found->second.isReady == report.isReady && found->second.isCold == isCold(report)
         && found->second.identity == report.identity;
 }
@@ -33,28 +33,30 @@
 void ReportFilter::acknowledged(const TargetReport &report, Instant now)
 {
     const std::lock_guard lock(this->mutex);
-    this->note(report, now + passInterval, now);
+    this->record(report, now + forwardInterval, now);
 }
 
-/// Guards against the reports of all targets that reach a controller at once after a restart of all
-/// instances: they pass one after the other within the interval. Only once for each target: an
-/// instance that does not reach the controller must not go on answering for it.
+/// Guards against the reports of all targets reaching a controller at once after a restart of all
+/// instances: they are forwarded one after the other within the interval. This applies only once to
+/// each target, because an instance that does not reach the controller must not go on answering for
+/// it.
 bool ReportFilter::acknowledgeStored(const TargetReport &report, Instant now)
 {
     const auto spread = std::hash<std::string>()(report.identity.name)
-        % static_cast<std::size_t>(passInterval.count());
+        % static_cast<std::size_t>(forwardInterval.count());
     const std::lock_guard lock(this->mutex);
     if (this->known.count(report.identity.name) != 0)
         return false;
-    this->note(report, now + Milliseconds(spread), now);
+    this->record(report, now + Milliseconds(spread), now);
     return true;
 }
 
-/// Under the lock.
-void ReportFilter::note(const TargetReport &report, Instant passAt, Instant now)
+/// Requires that the mutex is locked.
+void ReportFilter::record(const TargetReport &report, Instant forwardAt, Instant now)
 {
-    this->known[report.identity.name] = {report.identity, report.isReady, isCold(report), passAt};
-    this->dropOld(now);
+    this->known[report.identity.name] = {report.identity, report.isReady, isCold(report),
+                                         forwardAt};
+    this->dropStale(now);
 }
 
 void ReportFilter::forget(const std::string &targetName)
@@ -69,14 +71,14 @@
     return this->known.size();
 }
 
-/// Guards against a table that grows by every target that ever was.
-void ReportFilter::dropOld(Instant now)
+/// Guards against a table that grows with every target that ever reported.
+void ReportFilter::dropStale(Instant now)
 {
     if (now < this->nextDrop)
         return;
-    this->nextDrop = now + keepFor;
-    for (auto one = this->known.begin(); one != this->known.end();)
-        one = one->second.passAt + keepFor < now ? this->known.erase(one) : std::next(one);
+    this->nextDrop = now + entryTimeout;
+    for (auto it = this->known.begin(); it != this->known.end();)
+        it = it->second.forwardAt + entryTimeout < now ? this->known.erase(it) : std::next(it);
 }
 
 } // namespace guavavalve::workflows
--- a/src/workflows/reportfilter.h
+++ b/src/workflows/reportfilter.h
@@ -12,45 +12,46 @@
 
 struct TargetReport;
 
-/// Remembers what the controller has lately acknowledged of targets, so that an instance that does
-/// not lead can answer a report that says nothing new. Safe from any thread.
+/// Remembers the reports of targets that the controller acknowledged recently, so that an instance
+/// that does not lead can answer a report without new information itself. Thread-safe.
 ///
-/// A report says something new if the life, its identity, its readiness or whether it is cold
-/// differ from what was acknowledged last. All of that is stored before it is acknowledged, so no
-/// later controller can have missed it. Repetitions still reach the controller every passInterval:
-/// it forgets targets that are silent.
+/// A report contains new information if the incarnation, its identity, its readiness or whether it
+/// is cold differ from the last acknowledged report. All of that is stored before it is
+/// acknowledged, so no later controller can have missed it. Repetitions are still forwarded to the
+/// controller once every forwardInterval, because it forgets targets that are silent.
 class ReportFilter
 {
 public:
-    /// Well below the silence after which a controller forgets a target.
-    static constexpr Milliseconds passInterval{5000};
+    /// Well below the time of silence after which a controller forgets a target.
+    static constexpr Milliseconds forwardInterval{5000};
 
     /// True if \a report may be acknowledged without asking the controller.
     bool isRepetition(const TargetReport &report, Instant now) const;
-    /// The controller has acknowledged \a report.
+    /// Records that the controller has acknowledged \a report.
     void acknowledged(const TargetReport &report, Instant now);
-    /// \a report says what is stored. If nothing was known of its target here, it counts as
-    /// acknowledged, one of its next repetitions goes to the controller, and the outcome is true.
+    /// Records that \a report matches the stored state. If its target was unknown here, the report
+    /// counts as acknowledged, one of the next repetitions is forwarded to the controller, and true
+    /// is returned.
     bool acknowledgeStored(const TargetReport &report, Instant now);
-    /// The target has said goodbye, or its word was not taken.
+    /// Forgets a target that leaves or whose report was not accepted.
     void forget(const std::string &targetName);
 
     std::size_t size() const;
 
 private:
-    struct Known
+    struct Entry
     {
         TargetIdentity identity;
         bool isReady = false;
         bool isCold = false;
-        Instant passAt{}; ///< the next repetition from then on goes to the controller
+        Instant forwardAt{}; ///< the first repetition after this is forwarded to the controller
     };
 
-    void note(const TargetReport &report, Instant passAt, Instant now);
-    void dropOld(Instant now);
+    void record(const TargetReport &report, Instant forwardAt, Instant now);
+    void dropStale(Instant now);
 
     mutable std::mutex mutex;
-    std::unordered_map<std::string, Known> known; ///< by the target's name
+    std::unordered_map<std::string, Entry> known; ///< by target name
     Instant nextDrop{};
 };
 
--- a/src/workflows/runend.h
+++ b/src/workflows/runend.h
@@ -10,18 +10,18 @@
 
 namespace guavavalve::workflows {
 
-/// How a run is over. The order is part of the format of the log: new ones go to the end.
+/// How a run ended. The order is part of the log format: append new outcomes at the end.
 enum class RunOutcome : std::uint8_t {
     Succeeded,
-    Failed, ///< by its own fault or its target's
-    Stopped, ///< as ordered
-    Lapsed, ///< its target's lease ran out
+    Failed, ///< because of the task or of its target
+    Stopped, ///< stopped by order of the controller
+    Lapsed, ///< the lease of its target expired
     Broken, ///< another member of its gang ended
-    Alone, ///< the other members of its gang did not come
-    Lost, ///< its target's life is over, or its lease has run out unheard
+    Alone, ///< the other members of its gang did not start
+    Lost, ///< its target's incarnation is over, or its lease expired without an answer
     NeverStarted, ///< the target can no longer start it
-    Refused, ///< never started: the target has refused it, although it had the room
-    LostEarly, ///< lost, soon after the target had begun it
+    Refused, ///< never started: the target refused it although it had the capacity
+    LostEarly, ///< lost soon after the target had begun it
 };
 
 inline constexpr EnumNames<RunOutcome, 10> runOutcomeNames{{
@@ -43,8 +43,9 @@
     TaskAddress task;
     RunNumber run = 0;
     RunOutcome outcome = RunOutcome::Lost;
-    std::string checkpoint; ///< the newest known; empty: none, and the one known before stays
-    std::uint16_t maxFailures = 1; ///< after this many the task, or its gang, has failed
+    std::string checkpoint; ///< the newest known; empty: none, and an earlier one is kept
+    /// Number of failures after which the task, or its gang, has failed.
+    std::uint16_t maxFailures = 1;
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// Instances report that they are there every 0.4 s.
-constexpr Milliseconds lookInterval{200};
-/// An agent gives a target up so much sooner than the controller gives up the agent.
-constexpr Milliseconds wayBack{50};
+/// How often the list of agents is refreshed. Instances announce their presence every 0.4 s.
+constexpr Milliseconds agentRefreshInterval{200};
+/// An agent's timeout for a target's answer is shorter by this much than the controller's timeout
+/// for the agent.
+constexpr Milliseconds replyMargin{50};
 
 std::int64_t msUntil(Instant deadline, Instant now)
 {
@@ -32,9 +33,9 @@
 const InstanceId &TargetAgents::agentFor(const TargetIdentity &target)
 {
     const Instant now = this->options.clock();
-    if (now >= this->nextLook) {
-        this->nextLook = now + lookInterval;
-        this->pool.present(this->options.agents(), now);
+    if (now >= this->nextAgentRefresh) {
+        this->nextAgentRefresh = now + agentRefreshInterval;
+        this->pool.setAgents(this->options.agents(), now);
     }
     return this->pool.choose(target.name, now);
 }
@@ -79,7 +80,7 @@
     carried.startedAtMs = target.startedAtMs;
     carried.address = target.address;
     carried.order = order;
-    carried.answerWithinMs = msUntil(deadline - wayBack, now);
+    carried.answerWithinMs = msUntil(deadline - replyMargin, now);
     if constexpr (std::is_same_v<Order, StartOrder>)
         carried.leaveWithinMs = msUntil(order.leaveBy, now);
     this->messenger.call(agent, Method::CarryOrder, encode(carried), deadline,
@@ -91,15 +92,15 @@
                          });
 }
 
-/// What fails between the two instances tells nothing of the target: a start that never left goes
-/// out again at once, by another way.
+/// A failure between the two instances says nothing about the target: a start that was never sent
+/// is sent again at once, through another instance.
 template<typename Answer>
 void TargetAgents::carried(const InstanceId &agent, const Result<std::string> &reply,
                            const Done<Answer> &done)
 {
     if (!reply) {
         const bool isUnreachable = reply.error().ran == Ran::No;
-        if (this->pool.unanswered(agent, isUnreachable, this->options.clock()))
+        if (this->pool.recordFailure(agent, isUnreachable, this->options.clock()))
             logAgentUnresponsive(agent, this->pool.targetsOf(agent), reply.error());
         Error error = reply.error();
         if (error.ran == Ran::No)
@@ -118,7 +119,8 @@
     } else if (const auto *error = std::get_if<Error>(&decoded.value().answer)) {
         done(*error);
     } else {
-        Error other = failure(ErrorCode::Corrupt, "an agent answered another kind of order");
+        Error other =
+            failure(ErrorCode::Corrupt, "the agent's answer does not match the kind of order");
         other.ran = Ran::Unknown;
         done(other);
     }
--- a/src/workflows/targetagents.h
+++ b/src/workflows/targetagents.h
@@ -16,18 +16,18 @@
 
 struct TargetAgentsOptions
 {
-    InstanceId self; ///< also the address of its messenger, as with every instance
-    std::size_t targetsPerAgent = 1000; ///< for which one instance has connections
-    /// Other instances that may carry orders now.
+    InstanceId self; ///< also its messenger address, as for every instance
+    std::size_t targetsPerAgent = 1000; ///< that one instance has connections for
+    /// Returns the other instances that may currently carry orders.
     std::function<std::vector<InstanceId>()> agents;
-    std::function<void(std::function<void()>)>
-        post; ///< onto the controller's loop, from any thread
+    /// Runs an action on the controller's loop; may be called from any thread.
+    std::function<void(std::function<void()>)> post;
     Clock clock = monotonicNow;
 };
 
-/// Carries the controller's orders to targets over its own port or, in fleets that one process has
-/// no connections for, over the ports of other instances. Decisions, leases and fences stay with
-/// the controller. Runs on the controller's loop.
+/// Sends the controller's orders to targets through its own port or, in fleets that are too large
+/// for the connections of one process, through the ports of other instances. Decisions, leases and
+/// fencing stay with the controller. Runs on the controller's loop.
 class TargetAgents : public TargetPort
 {
 public:
@@ -40,7 +40,7 @@
     void hold(const TargetIdentity &target, const HoldOrder &order, Instant deadline,
               Done<HoldAnswer> done) override;
 
-    /// Targets whose orders other instances carry.
+    /// Number of targets whose orders other instances carry.
     std::size_t sharedTargets() const { return this->pool.sharedTargets(); }
 
 private:
@@ -57,7 +57,7 @@
     TargetPort &own;
     Messenger &messenger;
     AgentPool pool;
-    Instant nextLook{}; ///< at which agents there are
+    Instant nextAgentRefresh{}; ///< when the list of agents is refreshed next
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/targetagentservice.cpp
+++ b/src/workflows/targetagentservice.cpp
@@ -33,7 +33,7 @@
     return target;
 }
 
-/// Hands each kind of order to the port.
+/// Passes each kind of order to the port.
 class OrderCarrier
 {
 public:
--- a/src/workflows/targetagentservice.h
+++ b/src/workflows/targetagentservice.h
@@ -11,15 +11,15 @@
 
 namespace guavavalve::workflows {
 
-/// Carries another instance's orders to targets over this instance's port. Keeps nothing.
+/// Carries orders of another instance to targets through this instance's port. Stateless.
 class TargetAgentService
 {
 public:
-    /// \a post: onto the port's loop, from any thread.
+    /// \a post: runs an action on the port's loop; may be called from any thread.
     TargetAgentService(TargetPort &port, std::function<void(std::function<void()>)> post,
                        Clock clock = monotonicNow);
 
-    /// Before the messenger's start.
+    /// Registers the handler. Must be called before the messenger starts.
     void serve(Messenger &messenger);
 
 private:
--- a/src/workflows/targetidentity.h
+++ b/src/workflows/targetidentity.h
@@ -14,16 +14,17 @@
 
 namespace guavavalve::workflows {
 
-/// What a target says of itself. Only its capacity may change during one life of its process.
+/// What a target reports about itself. Only its capacity may change during one incarnation.
 struct TargetIdentity
 {
     std::string name;
-    std::int64_t startedAtMs = 0; ///< its own calendar time; a later life has a larger one
+    /// Start of its process, by its own calendar; larger for later incarnations.
+    std::int64_t startedAtMs = 0;
     std::string address; ///< "ip:port"
     std::string service;
     std::string failureDomain;
     std::vector<std::string> labels;
-    std::string rack; ///< the label that names its rack
+    std::string rack; ///< value of the label that names its rack
     Resources capacity;
 
     bool hasLabel(const std::string &label) const
--- a/src/workflows/targetlosstracker.h
+++ b/src/workflows/targetlosstracker.h
@@ -11,48 +11,54 @@
 
 namespace guavavalve::workflows {
 
-/// Tells tasks that crash their targets from tasks whose targets crash. Part of the replicated
-/// state: pure, and holds across controllers.
+/// Distinguishes tasks that crash their targets from tasks whose targets crash for other reasons.
+/// Part of the replicated state: pure, and kept across changes of controller.
 ///
-/// Each target that is lost with a run counts for the task, first as an open loss and then as a
-/// crash once its process is known to be gone. A crash soon after the start speaks against the
-/// task; one in the middle of a run may have any reason and weighs less. A task that has crashed
-/// too many targets is to be given up, and one that may have is not started before that is known.
-/// If several tasks had just begun on a target, those with the most such crashes before are blamed.
+/// Each target that is lost with a run counts for the run's task, first as an open loss and then,
+/// once its process is known to be gone, as a crash. A crash soon after the start is evidence
+/// against the task; a crash in the middle of a run may have any cause and weighs less. A task that
+/// has crashed too many targets is given up, and a task whose open losses could make up that number
+/// is not started until they are resolved. If several tasks had just begun on a crashed target,
+/// those with the most earlier crashes of this kind are blamed.
 class TargetLossTracker
 {
 public:
-    /// Crashes soon after the start that a task is given up for.
-    static constexpr unsigned mostEarlyCrashes = 3;
-    /// Crashes of any kind that a task is given up for.
-    static constexpr unsigned mostCrashes = 5;
+    /// Number of crashes soon after the start after which a task is given up.
+    static constexpr unsigned maxEarlyCrashes = 3;
+    /// Number of crashes of any kind after which a task is given up.
+    static constexpr unsigned maxCrashes = 5;
 
-    /// A run of \a task was lost with the target's life. A life counts once for each task.
-    void lost(IncarnationId incarnation, const TaskAddress &task, bool isEarly);
-    /// The process of \a life is gone. Returns the tasks that are to be given up now.
-    std::vector<TaskAddress> crashed(IncarnationId incarnation);
-    /// The process of \a life goes on, or has ended as planned: its losses count for nothing.
-    void survived(IncarnationId incarnation);
+    /// A run of \a task was lost with an incarnation of its target. An incarnation counts once for
+    /// each task.
+    void recordLoss(IncarnationId incarnation, const TaskAddress &task, bool isEarly);
+    /// The process of \a incarnation is gone. Returns the tasks that are to be given up now.
+    std::vector<TaskAddress> recordCrash(IncarnationId incarnation);
+    /// The process of \a incarnation goes on, or has ended as planned: its losses do not count.
+    void discardLosses(IncarnationId incarnation);
 
-    /// The task has succeeded, or has shown that its targets can run it.
+    /// The task has succeeded, or has proved that targets can run it.
     void forget(const TaskAddress &task);
     void forget(WorkflowId workflow);
 
-    /// True if it is not known yet whether \a life has crashed with something on it.
-    bool hasOpen(IncarnationId incarnation) const { return this->open.count(incarnation) != 0; }
-    /// The tasks that were lost with \a life, as long as that is not known.
+    /// True if tasks were lost with \a incarnation and it is not known yet whether it crashed.
+    bool hasOpenLosses(IncarnationId incarnation) const
+    {
+        return this->openLosses.count(incarnation) != 0;
+    }
+    /// The tasks that were lost with \a incarnation, until it is known whether it crashed.
     std::vector<TaskAddress> lostWith(IncarnationId incarnation) const;
     LossCount count(const TaskAddress &task) const;
-    /// False while targets that may have crashed would make too many of them.
+    /// False if the task would have to be given up should all its open losses turn out to be
+    /// crashes.
     bool mayStart(const TaskAddress &task) const;
-    /// A target was lost soon after it had begun the task.
+    /// True if a target was lost soon after it had begun the task.
     bool isSuspect(const TaskAddress &task) const;
     bool isEmpty() const { return this->counts.empty(); }
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->counts, this->open);
+        archive(this->counts, this->openLosses);
     }
 
 private:
@@ -68,10 +74,10 @@
         }
     };
 
-    std::vector<Loss> close(IncarnationId incarnation);
+    std::vector<Loss> removeOpenLosses(IncarnationId incarnation);
 
     std::map<TaskAddress, LossCount> counts;
-    std::map<IncarnationId, std::vector<Loss>> open; ///< by the life that was lost
+    std::map<IncarnationId, std::vector<Loss>> openLosses; ///< by the lost incarnation
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/targetport.h
+++ b/src/workflows/targetport.h
@@ -17,20 +17,22 @@
 
 namespace guavavalve::workflows {
 
-/// A start as it goes to a target.
+/// An order to start a run, as it is sent to a target.
 struct StartOrder
 {
     TaskAddress task;
     RunNumber run = 0;
     std::string payload;
-    std::string checkpoint; ///< to go on from; empty: from the beginning
-    std::string ticket; ///< empty: the queue needs none
-    std::int64_t leaseUntilMs = 0; ///< on the target's clock
-    std::uint64_t term = 0; ///< fences off earlier controllers
-    std::uint32_t priority = 0; ///< its queue's: orders in line go out lowest first, stops before
-    Instant leaveBy = Instant::max(); ///< if it is still in line then, it is not sent at all
-
-    /// Without leaveBy, which counts on this instance's clock.
+    std::string checkpoint; ///< to continue from; empty: from the beginning
+    std::string ticket; ///< empty: the queue requires none
+    std::int64_t leaseUntilMs = 0; ///< by the target's clock
+    std::uint64_t term = 0; ///< fences out earlier controllers
+    /// Its queue's: waiting orders are sent lowest value first, after stops.
+    std::uint32_t priority = 0;
+    /// If it is still waiting to be sent then, it is not sent at all.
+    Instant leaveBy = Instant::max();
+
+    /// Leaves out leaveBy, which is a time on this instance's clock.
     template<typename Archive>
     void serialize(Archive &archive)
     {
@@ -52,12 +54,12 @@
     }
 };
 
-/// Asks what runs and what has ended, and renews the lease of all that runs.
+/// Asks for the running and the ended runs, and renews the lease of all that are running.
 struct HoldOrder
 {
-    std::int64_t leaseUntilMs = 0; ///< on the target's clock; 0: renews nothing
-    std::uint64_t lastSeen = 0; ///< ends up to this number are stored and may be forgotten
-    std::int64_t waitMs = 0; ///< how long the target may wait for an end
+    std::int64_t leaseUntilMs = 0; ///< by the target's clock; 0: renews nothing
+    std::uint64_t lastSeen = 0; ///< ends up to this number are stored; the target may forget them
+    std::int64_t waitMs = 0; ///< how long the target may wait for a run to end before it answers
     std::uint64_t term = 0;
 
     template<typename Archive>
@@ -67,16 +69,16 @@
     }
 };
 
-/// How a target took an order.
+/// How a target responded to an order.
 enum class OrderReply : std::uint8_t {
-    Done, ///< carried out, or was already
-    Settled, ///< the run is not above one that was stopped or has ended there
-    Late, ///< the order's lease had run out
+    Done, ///< carried out now or earlier
+    Settled, ///< the target has stopped or ended a run of the task with this or a higher number
+    Late, ///< the lease in the order had expired
     NoRoom,
-    NoTicket, ///< the admission is missing or has run out
-    Fenced, ///< a later controller has been there
-    Refused, ///< by a target in trouble or for a malformed order; nothing was done
-    OtherLife, ///< another life of the target, or another target, answers at the address
+    NoTicket, ///< the admission ticket is missing or has expired
+    Fenced, ///< the target has accepted orders of a later controller
+    Refused, ///< by an unhealthy target, or for a malformed order; nothing was done
+    OtherLife, ///< another incarnation of the target, or another target, answers at the address
 };
 
 inline constexpr EnumNames<OrderReply, 8> orderReplyNames{{
@@ -93,7 +95,7 @@
 struct OrderAnswer
 {
     OrderReply reply = OrderReply::Refused;
-    std::int64_t clockMs = 0; ///< the target's clock; 0: not said
+    std::int64_t clockMs = 0; ///< the target's clock; 0: not reported
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -106,8 +108,9 @@
 {
     TaskAddress task;
     RunNumber run = 0;
-    std::string checkpoint; ///< the newest saved; empty: none
-    std::optional<int> percent = std::nullopt; ///< of its work that is done; nothing: not said
+    std::string checkpoint; ///< the newest saved one; empty: none
+    /// Share of the work that is done; nullopt: not reported.
+    std::optional<int> percent = std::nullopt;
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -118,7 +121,7 @@
 
 struct ListedEnd
 {
-    std::uint64_t number = 0; ///< counts the ends of this life
+    std::uint64_t number = 0; ///< counts the ends within this incarnation
     TaskAddress task;
     RunNumber run = 0;
     RunOutcome outcome = RunOutcome::Failed;
@@ -136,8 +139,8 @@
     OrderReply reply = OrderReply::Refused;
     std::int64_t clockMs = 0;
     std::vector<RunningTask> running;
-    std::vector<ListedEnd> ends; ///< by number
-    bool isTruncated = false; ///< there may be more ends than these
+    std::vector<ListedEnd> ends; ///< in ascending order of their numbers
+    bool isTruncated = false; ///< there may be further ends
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -146,10 +149,10 @@
     }
 };
 
-/// Carries orders to targets. Answers come on the controller's loop. An order without an answer
-/// may have been carried out, or may yet be, unless its error says Ran::No: then nothing of it was
-/// sent. LimitExceeded says that the instance itself had no connection to spare; other errors tell
-/// of the target.
+/// Sends orders to targets. Answers arrive on the controller's loop. An order without an answer may
+/// have been carried out, or may be carried out later, unless its error has Ran::No: then no part
+/// of it was sent. LimitExceeded means that this instance had no connection available; all other
+/// errors concern the target.
 class TargetPort
 {
 public:
--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Questions in a row without an answer after which no lease is renewed: with a path that is cut
-/// one way they would go on renewing it for ever. The next question is answered at once, and after
-/// it the lease is renewed again.
-constexpr unsigned blindQuestions = 1;
+/// Number of consecutive polls without an answer after which no lease is renewed. If the path is
+/// cut in one direction only, polls that arrive would otherwise renew the lease indefinitely. Once
+/// the target answers again, the lease is renewed again.
+constexpr unsigned maxUnansweredPolls = 1;
 constexpr std::int64_t perThousand = 1000;
 
 } // namespace
@@ -20,16 +20,17 @@
 TargetSession::TargetSession(IncarnationId incarnation, TargetIdentity identity, std::uint64_t term,
                              SessionLimits limits, TargetPort &port, Hooks hooks, Clock clock)
     : number(incarnation)
-    , who(std::move(identity))
+    , targetIdentity(std::move(identity))
     , term(term)
     , limits(limits)
     , port(port)
     , hooks(std::move(hooks))
     , clock(std::move(clock))
 {
-    // An earlier controller may have granted a whole lease up to this moment.
-    this->lapsesAt = this->clock() + this->limits.lease
-        + this->limits.lease * this->limits.clockDrift / perThousand + this->limits.leaseMargin;
+    // An earlier controller may have granted a full lease up to this moment.
+    this->leasesExpireAt = this->clock() + this->limits.lease
+        + this->limits.lease * this->limits.maxClockDriftPerThousand / perThousand
+        + this->limits.leaseMargin;
 }
 
 void TargetSession::begin()
@@ -57,10 +58,10 @@
     run.phase = Phase::Sending;
     run.placedAt = this->clock();
     run.order = std::move(order);
-    run.order.leaveBy = run.placedAt + this->limits.startPatience;
+    run.order.leaveBy = run.placedAt + this->limits.unansweredStartLimit;
     this->runs[task] = std::move(run);
     if (isTrial)
-        this->trialUntil = this->clock() + this->limits.earlyLoss;
+        this->trialUntil = this->clock() + this->limits.earlyLossWindow;
     ++this->unansweredStarts;
     this->sendStart(task);
 }
@@ -69,32 +70,32 @@
 {
     const auto found = this->runs.find(task);
     if (found == this->runs.end() || found->second.phase == Phase::Over
-        || found->second.isStopWanted)
+        || found->second.isStopRequested)
         return false;
-    found->second.isStopWanted = true;
+    found->second.isStopRequested = true;
     this->sendStop(task, found->second.run);
     return true;
 }
 
 void TargetSession::committed()
 {
-    if (this->reportsUnderWay > 0)
-        --this->reportsUnderWay;
-    if (this->reportsUnderWay > 0)
+    if (this->pendingReports > 0)
+        --this->pendingReports;
+    if (this->pendingReports > 0)
         return;
-    this->stored = this->seen;
+    this->highestStoredEnd = this->highestListedEnd;
     for (auto run = this->runs.begin(); run != this->runs.end();)
         run = run->second.phase == Phase::Over ? this->runs.erase(run) : std::next(run);
-    if (std::exchange(this->waitsForStore, false))
+    if (std::exchange(this->isAwaitingStore, false))
         this->hold();
 }
 
-void TargetSession::heard(bool isReady, Milliseconds coldFor)
+void TargetSession::recordHeartbeat(bool isReady, Milliseconds coldFor)
 {
-    this->heardAt = this->clock();
+    this->lastHeartbeatAt = this->clock();
     this->reportsReady = isReady;
-    this->coldUntil = this->heardAt + coldFor;
-    this->noteUsable();
+    this->coldUntil = this->lastHeartbeatAt + coldFor;
+    this->updateUsable();
 }
 
 void TargetSession::setEvacuated(bool nowEvacuated)
@@ -102,34 +103,34 @@
     this->isEvacuated = nowEvacuated;
 }
 
-void TargetSession::declareOver()
+void TargetSession::declareLost()
 {
     this->reportLost();
     this->end();
 }
 
-/// Guards against a task that is run again although its end was listed: a target answers its last
-/// question as it says goodbye.
+/// Guards against running a task again although its end was listed: a target answers its pending
+/// poll when it leaves.
 void TargetSession::leave(std::function<void()> gone)
 {
     if (this->hasEnded || this->isLeaving)
         return;
     this->isLeaving = true;
-    this->whenGone = std::move(gone);
-    this->noteUsable();
-    if (this->isHolding)
-        this->later(this->limits.farewellLimit, [this] { this->finishLeaving(); });
+    this->onLeft = std::move(gone);
+    this->updateUsable();
+    if (this->isPolling)
+        this->runLater(this->limits.finalAnswerTimeout, [this] { this->finishLeaving(); });
     else
         this->finishLeaving();
 }
 
-void TargetSession::takeFarewell(const Result<HoldAnswer> &answer)
+void TargetSession::processFinalAnswer(const Result<HoldAnswer> &answer)
 {
     std::vector<RunEnd> over;
     if (answer && answer.value().reply == OrderReply::Done)
-        this->takeEnds(answer.value(), over);
+        this->processEnds(answer.value(), over);
     if (!over.empty()) {
-        ++this->reportsUnderWay;
+        ++this->pendingReports;
         this->hooks.runsOver(std::move(over));
     }
     this->finishLeaving();
@@ -137,8 +138,8 @@
 
 void TargetSession::finishLeaving()
 {
-    this->declareOver();
-    if (const auto gone = std::exchange(this->whenGone, nullptr))
+    this->declareLost();
+    if (const auto gone = std::exchange(this->onLeft, nullptr))
         gone();
 }
 
@@ -146,21 +147,23 @@
 {
     if (this->hasEnded)
         return;
-    if (this->failures >= blindQuestions && this->clock() > this->lapsesAt && this->hasRunList) {
-        this->hasRunList = false; // what it says next is compared with an empty table
+    if (this->failures >= maxUnansweredPolls && this->clock() > this->leasesExpireAt
+        && this->hasRunList) {
+        this->hasRunList = false; // its next list is compared with an empty table
         this->reportLost();
-    } else if (this->failures > 0 && this->clock() > this->lapsesAt && !this->runs.empty()) {
+    } else if (this->failures > 0 && this->clock() > this->leasesExpireAt && !this->runs.empty()) {
         this->reportLost();
     }
-    this->noteUsable();
+    this->updateUsable();
 }
 
 bool TargetSession::isUsable() const
 {
     const Instant now = this->clock();
     return !this->isOver() && this->hasRunList && !this->isFenced && this->reportsReady
-        && this->failures == 0 && this->foreign.empty() && now >= this->unreachableUntil
-        && now < this->answeredAt + this->limits.holdWait + this->limits.orderLimit + this->ownLag()
+        && this->failures == 0 && this->foreignRuns.empty() && now >= this->unreachableUntil
+        && now
+        < this->answeredAt + this->limits.maxHoldWait + this->limits.orderTimeout + this->ownLag()
         && !this->hasUnansweredStart(now);
 }
 
@@ -169,15 +172,15 @@
     return this->hooks.ownLag ? this->hooks.ownLag() : Microseconds(0);
 }
 
-/// Guards against a target that is given work for 1.7 s after it was cut off, until a question that
-/// it may answer late is over: all of that would wait for its lease to run out.
+/// Guards against assigning work for 1.7 s to a target that was cut off, until the poll that it may
+/// answer late has timed out: all that work would have to wait for the lease to expire.
 bool TargetSession::hasUnansweredStart(Instant now) const
 {
     if (this->unansweredStarts == 0)
         return false;
-    const Instant since = now - this->limits.startPatience - this->ownLag();
+    const Instant since = now - this->limits.unansweredStartLimit - this->ownLag();
     return std::any_of(this->runs.begin(), this->runs.end(), [&](const auto &run) {
-        return run.second.phase == Phase::Sending && !run.second.isStopWanted
+        return run.second.phase == Phase::Sending && !run.second.isStopRequested
             && since > run.second.placedAt;
     });
 }
@@ -185,8 +188,8 @@
 bool TargetSession::isForgettable(Milliseconds silence) const
 {
     const Instant now = this->clock();
-    return this->runs.empty() && now > this->heardAt + silence && now > this->answeredAt + silence
-        && now > this->lapsesAt;
+    return this->runs.empty() && now > this->lastHeartbeatAt + silence
+        && now > this->answeredAt + silence && now > this->leasesExpireAt;
 }
 
 bool TargetSession::hasBegun(const TaskAddress &task) const
@@ -195,20 +198,20 @@
     return found != this->runs.end() && (found->second.wasListed || found->second.wasStarted);
 }
 
-void TargetSession::noteUsable()
+void TargetSession::updateUsable()
 {
     const bool isNow = this->isUsable();
     if (std::exchange(this->wasUsable, isNow) == isNow)
         return;
     const auto age =
         this->answeredAt == Instant{} ? Microseconds{} : this->clock() - this->answeredAt;
-    logTargetUsable(this->who, isNow,
+    logTargetUsable(this->targetIdentity, isNow,
                     {this->reportsReady, this->hasRunList, this->isFenced, this->failures,
-                     this->foreign.size(), std::chrono::duration_cast<Milliseconds>(age)});
+                     this->foreignRuns.size(), std::chrono::duration_cast<Milliseconds>(age)});
     this->hooks.usableChanged();
 }
 
-void TargetSession::later(Microseconds delay, std::function<void()> action)
+void TargetSession::runLater(Microseconds delay, std::function<void()> action)
 {
     this->hooks.runAfter(delay, [weak = this->weak_from_this(), action = std::move(action)] {
         const auto self = weak.lock();
@@ -217,37 +220,40 @@
     });
 }
 
-/// A lease for the target's own clock, and the time by which it is over for certain.
+/// Returns the end of a new lease by the target's own clock, or 0 if none may be granted, and
+/// updates the time by which every lease has certainly expired.
 ///
-/// Guards against a run that is started elsewhere while it still goes on here: the target counts
-/// on a clock that may be slow, and from a reading that was taken before the answer arrived. A
-/// controller that has lost its followers, but not its targets, grants nothing more: the next one
-/// counts the leases of this one from its own election.
+/// Guards against starting a run elsewhere while it still goes on here: the target's clock may be
+/// slow, and it was read before the answer arrived. A controller that has lost its followers, but
+/// not its targets, grants no more leases, because the next controller counts this one's leases
+/// from its own election.
 std::int64_t TargetSession::grantLease()
 {
-    if (this->answeredAt == Instant{} || this->failures >= blindQuestions
+    if (this->answeredAt == Instant{} || this->failures >= maxUnansweredPolls
         || !this->hooks.isCurrent())
         return 0;
     const Instant now = this->clock();
     const auto since = std::chrono::duration_cast<Milliseconds>(now - this->answeredAt);
-    const Milliseconds drift = this->limits.lease * this->limits.clockDrift / perThousand;
-    const Milliseconds sinceDrift = since * this->limits.clockDrift / perThousand;
-    this->lapsesAt =
-        std::max(this->lapsesAt,
+    const Milliseconds drift =
+        this->limits.lease * this->limits.maxClockDriftPerThousand / perThousand;
+    const Milliseconds sinceDrift = since * this->limits.maxClockDriftPerThousand / perThousand;
+    this->leasesExpireAt =
+        std::max(this->leasesExpireAt,
                  now + this->limits.lease + drift + 2 * sinceDrift + this->limits.leaseMargin);
     this->leaseUntilMs = this->clockMs + since.count() + this->limits.lease.count();
     this->leaseEndsAt = now + this->limits.lease;
     return this->leaseUntilMs;
 }
 
-/// Starts do not draw the lease out while half of it is left.
+/// Starts do not extend the lease while at least half of it is left.
 ///
-/// Guards against leases that grow by orders that nobody answers: a target that was cut off one way
-/// kept its lease for two questions longer, 3.5 s, and with it the work that could run elsewhere.
+/// Guards against leases that are extended by orders nobody answers: a target that was cut off in
+/// one direction kept its lease for two polls longer, 3.5 s, and with it work that could have run
+/// elsewhere.
 std::int64_t TargetSession::leaseForStart()
 {
     const bool isEnough = this->clock() + this->limits.lease / 2 <= this->leaseEndsAt;
-    if (isEnough && this->failures < blindQuestions && this->hooks.isCurrent())
+    if (isEnough && this->failures < maxUnansweredPolls && this->hooks.isCurrent())
         return this->leaseUntilMs;
     return this->grantLease();
 }
@@ -260,11 +266,11 @@
         this->clockMs = targetClockMs;
 }
 
-/// False if the session is of no more use.
-bool TargetSession::takeReply(OrderReply reply)
+/// Returns false if the session can no longer be used.
+bool TargetSession::processReply(OrderReply reply)
 {
     if (reply == OrderReply::OtherLife) {
-        this->hooks.lifeOver();
+        this->hooks.incarnationOver();
         return false;
     }
     if (reply == OrderReply::Fenced)
@@ -274,17 +280,17 @@
 
 void TargetSession::hold()
 {
-    if (this->isHolding || this->hasEnded)
+    if (this->isPolling || this->hasEnded)
         return;
-    this->isHolding = true;
+    this->isPolling = true;
     HoldOrder order;
     order.term = this->term;
-    order.lastSeen = this->stored;
+    order.lastSeen = this->highestStoredEnd;
     order.leaseUntilMs = this->grantLease();
-    order.waitMs = this->hasRunList && this->failures == 0 ? this->limits.holdWait.count() : 0;
+    order.waitMs = this->hasRunList && this->failures == 0 ? this->limits.maxHoldWait.count() : 0;
     const Instant now = this->clock();
-    const Instant deadline = now + Milliseconds(order.waitMs) + this->limits.orderLimit;
-    this->port.hold(this->who, order, deadline,
+    const Instant deadline = now + Milliseconds(order.waitMs) + this->limits.orderTimeout;
+    this->port.hold(this->targetIdentity, order, deadline,
                     [weak = this->weak_from_this(), now](Result<HoldAnswer> answer) {
                         if (const auto self = weak.lock())
                             self->onHold(now, std::move(answer));
@@ -293,60 +299,60 @@
 
 void TargetSession::onHold(Instant sentAt, Result<HoldAnswer> answer)
 {
-    this->isHolding = false;
+    this->isPolling = false;
     if (this->hasEnded)
         return;
     if (this->isLeaving) {
-        this->takeFarewell(answer);
+        this->processFinalAnswer(answer);
         return;
     }
     if (!answer) {
         ++this->failures;
-        this->noteUsable();
-        this->later(this->limits.resendPause, [this] { this->hold(); });
+        this->updateUsable();
+        this->runLater(this->limits.resendDelay, [this] { this->hold(); });
         return;
     }
-    if (!this->takeReply(answer.value().reply))
+    if (!this->processReply(answer.value().reply))
         return;
     if (answer.value().reply != OrderReply::Done) {
-        this->later(this->limits.resendPause, [this] { this->hold(); });
+        this->runLater(this->limits.resendDelay, [this] { this->hold(); });
         return;
     }
     const bool isFirst = this->answeredAt == Instant{};
     this->answered(answer.value().clockMs);
-    this->takeLists(answer.value(), sentAt);
-    this->noteUsable();
-    if (this->reportsUnderWay > 0)
-        this->waitsForStore = true; // the next question says how far the ends are stored
-    else if (isFirst || !this->foreign.empty())
-        this->later(this->limits.resendPause, [this] { this->hold(); });
+    this->processLists(answer.value(), sentAt);
+    this->updateUsable();
+    if (this->pendingReports > 0)
+        this->isAwaitingStore = true; // the next poll says which ends are stored
+    else if (isFirst || !this->foreignRuns.empty())
+        this->runLater(this->limits.resendDelay, [this] { this->hold(); });
     else
         this->hold();
 }
 
-void TargetSession::takeLists(const HoldAnswer &answer, Instant sentAt)
+void TargetSession::processLists(const HoldAnswer &answer, Instant sentAt)
 {
     std::vector<RunEnd> over;
-    this->takeEnds(answer, over);
-    this->takeRunning(answer);
+    this->processEnds(answer, over);
+    this->processRunning(answer);
     if (!answer.isTruncated)
         this->findMissing(answer, sentAt, over);
     this->hasRunList = this->hasRunList || !answer.isTruncated;
     if (this->hooks.listed)
         this->hooks.listed(answer.running);
     if (over.empty()) {
-        if (this->reportsUnderWay == 0)
-            this->stored = this->seen;
+        if (this->pendingReports == 0)
+            this->highestStoredEnd = this->highestListedEnd;
         return;
     }
-    ++this->reportsUnderWay;
+    ++this->pendingReports;
     this->hooks.runsOver(std::move(over));
 }
 
-void TargetSession::takeEnds(const HoldAnswer &answer, std::vector<RunEnd> &over)
+void TargetSession::processEnds(const HoldAnswer &answer, std::vector<RunEnd> &over)
 {
     for (const ListedEnd &end : answer.ends) {
-        this->seen = std::max(this->seen, end.number);
+        this->highestListedEnd = std::max(this->highestListedEnd, end.number);
         const auto found = this->runs.find(end.task);
         if (found == this->runs.end() || found->second.run != end.run
             || found->second.phase == Phase::Over)
@@ -355,26 +361,26 @@
     }
 }
 
-void TargetSession::takeRunning(const HoldAnswer &answer)
+void TargetSession::processRunning(const HoldAnswer &answer)
 {
-    this->foreign.clear();
+    this->foreignRuns.clear();
     for (const RunningTask &running : answer.running) {
         const auto found = this->runs.find(running.task);
         if (found == this->runs.end() || found->second.run != running.run) {
-            this->foreign[running.task] = running.run;
+            this->foreignRuns[running.task] = running.run;
             continue;
         }
         found->second.wasListed = true;
         if (!running.checkpoint.empty())
             found->second.checkpoint = running.checkpoint;
     }
-    for (const auto &[task, run] : this->foreign)
+    for (const auto &[task, run] : this->foreignRuns)
         this->sendStop(task, run);
 }
 
-/// A run that the target neither runs nor has ended, although it had confirmed an order for it
-/// before it was asked, is over; so is one of an earlier term that it does not know, because this
-/// term's number makes it refuse the earlier controller's order for ever.
+/// Reports runs that the target neither lists as running nor as ended: those that it had confirmed
+/// an order for before the list was requested, and those of an earlier term, because the target
+/// rejects every order of the earlier controller once it has seen this term.
 void TargetSession::findMissing(const HoldAnswer &answer, Instant sentAt, std::vector<RunEnd> &over)
 {
     std::set<TaskAddress> running;
@@ -385,9 +391,9 @@
             continue;
         const bool isKnown = run.phase == Phase::Confirmed && run.confirmedAt < sentAt;
         if (run.phase == Phase::Adopted || isKnown) {
-            const RunOutcome unheard =
+            const RunOutcome notListed =
                 run.wasRefused ? RunOutcome::Refused : RunOutcome::NeverStarted;
-            over.push_back(this->over(task, run, run.wasListed ? RunOutcome::Lost : unheard, {}));
+            over.push_back(this->over(task, run, run.wasListed ? RunOutcome::Lost : notListed, {}));
         }
     }
 }
@@ -405,11 +411,12 @@
     return end;
 }
 
-/// The target has said that it began the run, and little more since.
+/// True if the target was last heard within the early-loss window after it had confirmed the start
+/// of the run.
 bool TargetSession::isEarly(const Run &run) const
 {
-    return run.wasStarted && !run.isStopWanted && !this->isLeaving
-        && this->answeredAt < run.confirmedAt + this->limits.earlyLoss;
+    return run.wasStarted && !run.isStopRequested && !this->isLeaving
+        && this->answeredAt < run.confirmedAt + this->limits.earlyLossWindow;
 }
 
 void TargetSession::reportLost()
@@ -423,7 +430,7 @@
     }
     if (ends.empty())
         return;
-    ++this->reportsUnderWay;
+    ++this->pendingReports;
     this->hooks.runsOver(std::move(ends));
 }
 
@@ -431,19 +438,19 @@
 {
     const auto found = this->runs.find(task);
     if (found == this->runs.end() || found->second.phase != Phase::Sending
-        || found->second.isStopWanted || this->isOver())
+        || found->second.isStopRequested || this->isOver())
         return;
     Run &run = found->second;
     run.order.leaseUntilMs = this->leaseForStart();
-    if (run.order.leaseUntilMs == 0) { // it does not answer: a lease might never be seen to end
-        if (!run.mayHaveLeft && this->failures >= blindQuestions)
+    if (run.order.leaseUntilMs == 0) { // without answers, the end of a lease might never be known
+        if (!run.maybeSent && this->failures >= maxUnansweredPolls)
             this->giveUpUnsent(task, run);
         else
-            this->later(this->limits.resendPause, [this, task] { this->sendStart(task); });
+            this->runLater(this->limits.resendDelay, [this, task] { this->sendStart(task); });
         return;
     }
     this->port.start(
-        this->who, run.order, this->clock() + this->limits.orderLimit,
+        this->targetIdentity, run.order, this->clock() + this->limits.orderTimeout,
         [weak = this->weak_from_this(), task, number = run.run](const Result<OrderAnswer> &answer) {
             const auto self = weak.lock();
             if (self && !self->hasEnded)
@@ -466,10 +473,10 @@
         return;
     }
     if (answer.value().reply == OrderReply::Late) {
-        this->sendAgain(task, run);
+        this->retryStart(task, run);
         return;
     }
-    if (!this->takeReply(answer.value().reply))
+    if (!this->processReply(answer.value().reply))
         return;
     switch (answer.value().reply) {
     case OrderReply::Done:
@@ -480,47 +487,48 @@
         run.confirmedAt = this->clock();
         return;
     default:
-        // An earlier send of the order may still be carried out: the stop settles it first.
+        // An earlier copy of the order may still be carried out: the stop settles that first.
         run.wasRefused = answer.value().reply == OrderReply::Refused;
-        this->settleByStop(task, run);
+        this->resolveByStop(task, run);
     }
 }
 
-/// Sends the start again if an earlier send may have arrived, and else gives the run up: its task
-/// can be placed elsewhere at once, where waiting for the target would cost a lease.
+/// Sends the start again if an earlier copy may have arrived. Otherwise the run is given up and its
+/// task can be placed elsewhere at once, whereas waiting for the target would take the length of a
+/// lease.
 void TargetSession::startFailed(const TaskAddress &task, Run &run, const Error &error)
 {
     const Instant now = this->clock();
     if (error.ran != Ran::No)
-        run.mayHaveLeft = true;
-    else if (error.code != ErrorCode::LimitExceeded) // not for want of connections on this side
-        this->unreachableUntil = now + this->limits.startPatience;
-    if (!run.mayHaveLeft)
+        run.maybeSent = true;
+    else if (error.code != ErrorCode::LimitExceeded) // unless this side lacked connections
+        this->unreachableUntil = now + this->limits.unansweredStartLimit;
+    if (!run.maybeSent)
         this->giveUpUnsent(task, run);
     else
-        this->sendAgain(task, run);
-    this->noteUsable();
+        this->retryStart(task, run);
+    this->updateUsable();
 }
 
-void TargetSession::sendAgain(const TaskAddress &task, Run &run)
+void TargetSession::retryStart(const TaskAddress &task, Run &run)
 {
     const bool isClosed = this->isEvacuated || !this->reportsReady;
-    const bool isOverdue = this->clock() > run.placedAt + this->limits.startLimit;
-    if ((isClosed || isOverdue) && !run.isStopWanted)
-        this->settleByStop(task, run);
+    const bool isOverdue = this->clock() > run.placedAt + this->limits.startTimeout;
+    if ((isClosed || isOverdue) && !run.isStopRequested)
+        this->resolveByStop(task, run);
     else
-        this->later(this->limits.resendPause, [this, task] { this->sendStart(task); });
+        this->runLater(this->limits.resendDelay, [this, task] { this->sendStart(task); });
 }
 
 void TargetSession::giveUpUnsent(const TaskAddress &task, Run &run)
 {
-    ++this->reportsUnderWay;
+    ++this->pendingReports;
     this->hooks.runsOver({this->over(task, run, RunOutcome::NeverStarted, {})});
 }
 
-void TargetSession::settleByStop(const TaskAddress &task, Run &run)
+void TargetSession::resolveByStop(const TaskAddress &task, Run &run)
 {
-    run.isStopWanted = true;
+    run.isStopRequested = true;
     this->sendStop(task, run.run);
 }
 
@@ -530,7 +538,7 @@
     order.task = task;
     order.run = run;
     order.term = this->term;
-    this->port.stop(this->who, order, this->clock() + this->limits.orderLimit,
+    this->port.stop(this->targetIdentity, order, this->clock() + this->limits.orderTimeout,
                     [weak = this->weak_from_this(), task, run](const Result<OrderAnswer> &answer) {
                         const auto self = weak.lock();
                         if (self && !self->hasEnded)
@@ -544,13 +552,13 @@
     const auto found = this->runs.find(task);
     if (found == this->runs.end() || found->second.run != number
         || found->second.phase == Phase::Over)
-        return; // it is stopped again if the next list still has it
+        return; // if the next list still has the run, it is stopped again
     if (!answer
         || (answer.value().reply != OrderReply::Done
             && answer.value().reply != OrderReply::Settled)) {
-        if (answer && !this->takeReply(answer.value().reply))
+        if (answer && !this->processReply(answer.value().reply))
             return;
-        this->later(this->limits.resendPause, [this, task, number] {
+        this->runLater(this->limits.resendDelay, [this, task, number] {
             const auto again = this->runs.find(task);
             if (again != this->runs.end() && again->second.run == number
                 && again->second.phase != Phase::Over)
--- a/src/workflows/targetstanding.h
+++ b/src/workflows/targetstanding.h
@@ -4,15 +4,17 @@
 
 namespace guavavalve::workflows {
 
-/// What decides whether new work may go to a target.
+/// The conditions that decide whether a target may receive new work.
 struct TargetStanding
 {
-    bool reportsReady = false; ///< its newest heartbeat; false: it drains
-    bool hasRunList = false; ///< it has been asked what runs there, in this term and since a lapse
-    bool isFenced = false; ///< a later controller has given it orders
-    unsigned failures = 0; ///< questions in a row without an answer
-    std::size_t foreignRuns = 0; ///< it runs, and that are being stopped
-    Milliseconds answerAge{}; ///< since it last answered
+    bool reportsReady = false; ///< by its newest heartbeat; false: it drains
+    /// It has listed its runs in this term, and since its leases last expired.
+    bool hasRunList = false;
+    bool isFenced = false; ///< it has accepted orders of a later controller
+    unsigned failures = 0; ///< consecutive polls without an answer
+    /// That it lists but that this controller did not place; they are being stopped.
+    std::size_t foreignRuns = 0;
+    Milliseconds answerAge{}; ///< time since its last answer
 };
 
 } // namespace guavavalve::workflows
--- a/src/workflows/workflowstore.cpp
+++ b/src/workflows/workflowstore.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// Before the format's number, one byte. Snapshots of the first format have no mark: they begin
-/// with a count, and no count has so many bytes with the highest bit set.
+/// Precedes the one-byte format number. Snapshots of the first format have no marker: they begin
+/// with a count, and no count has the highest bit set in so many bytes.
 constexpr std::string_view formatMark = "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
 constexpr unsigned firstFormat = 1;
 constexpr unsigned formatWithEvacuations = 2;
-constexpr unsigned formatWithLosses = 3; ///< and with rooms that change
+constexpr unsigned formatWithLosses = 3; ///< and with capacities that change
 constexpr unsigned newestFormat = formatWithLosses;
 
 unsigned formatOf(std::string_view snapshot)
@@ -35,11 +35,11 @@
     return occurrence;
 }
 
-/// Leaves of a workflow that is over what its caller may still ask for.
+/// Discards everything of a finished workflow that its caller can no longer ask for.
 ///
-/// Guards against memory that is held for what nobody reads again: a payload of up to 4 KB and 100
-/// bytes a task, for three minutes.
-void shed(Workflow &workflow)
+/// Guards against keeping memory that is not read any more: a payload of up to 4 KB and 100 bytes
+/// per task, for three minutes.
+void discardDetails(Workflow &workflow)
 {
     workflow.spec.payload = {};
     workflow.spec.steps = {};
@@ -51,8 +51,8 @@
 template<typename Archive>
 void WorkflowStore::serialize(Archive &archive, unsigned format)
 {
-    archive(this->all, this->liveIds, this->lifeTable, this->newest, this->lastLife, this->used,
-            this->version, this->text);
+    archive(this->workflowTable, this->liveIds, this->incarnationTable, this->newestByName,
+            this->lastIncarnation, this->used, this->version, this->text);
     if (format >= formatWithEvacuations)
         archive(this->evacuated);
     if (format >= formatWithLosses)
@@ -64,21 +64,22 @@
     CommandOutcomes outcomes;
     outcomes.reserve(batch.size());
     for (const Command &command : batch) {
-        outcomes.push_back(std::visit([this](const auto &one) { return this->on(one); }, command));
+        outcomes.push_back(
+            std::visit([this](const auto &one) { return this->applyCommand(one); }, command));
     }
     return outcomes;
 }
 
 const Workflow *WorkflowStore::find(WorkflowId id) const
 {
-    const auto found = this->all.find(id);
-    return found == this->all.end() ? nullptr : &found->second;
+    const auto found = this->workflowTable.find(id);
+    return found == this->workflowTable.end() ? nullptr : &found->second;
 }
 
 const IncarnationRecord *WorkflowStore::find(IncarnationId number) const
 {
-    const auto found = this->lifeTable.find(number);
-    return found == this->lifeTable.end() ? nullptr : &found->second;
+    const auto found = this->incarnationTable.find(number);
+    return found == this->incarnationTable.end() ? nullptr : &found->second;
 }
 
 bool WorkflowStore::takesWork(const IncarnationRecord &incarnation) const
@@ -89,8 +90,8 @@
 
 IncarnationId WorkflowStore::newestIncarnation(const std::string &name) const
 {
-    const auto found = this->newest.find(name);
-    return found == this->newest.end() ? IncarnationId::None : found->second;
+    const auto found = this->newestByName.find(name);
+    return found == this->newestByName.end() ? IncarnationId::None : found->second;
 }
 
 bool WorkflowStore::matchesNewest(const TargetIdentity &identity, bool isDraining) const
@@ -100,9 +101,9 @@
         && incarnation->identity == identity;
 }
 
-CommandOutcome WorkflowStore::on(const AcceptWorkflow &command)
+CommandOutcome WorkflowStore::applyCommand(const AcceptWorkflow &command)
 {
-    if (this->all.count(command.spec.id) != 0)
+    if (this->workflowTable.count(command.spec.id) != 0)
         return CommandOutcome::Joined;
     Workflow workflow;
     workflow.spec = command.spec;
@@ -110,25 +111,25 @@
     workflow.unfinishedSteps =
         command.spec.occurrences() * static_cast<std::uint32_t>(command.spec.steps.size());
     this->liveIds.insert(command.spec.id);
-    this->all.emplace(command.spec.id, std::move(workflow));
+    this->workflowTable.emplace(command.spec.id, std::move(workflow));
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const CancelWorkflow &command)
+CommandOutcome WorkflowStore::applyCommand(const CancelWorkflow &command)
 {
-    const auto found = this->all.find(command.id);
-    if (found == this->all.end())
+    const auto found = this->workflowTable.find(command.id);
+    if (found == this->workflowTable.end())
         return CommandOutcome::Rejected;
     if (found->second.isOver())
         return CommandOutcome::Unchanged;
     found->second.isCancelled = true;
-    this->settle(found->second, command.atMs);
+    this->finishIfOver(found->second, command.atMs);
     return CommandOutcome::Applied;
 }
 
-/// Checked again when it is applied: what an earlier controller decided before a target began to
-/// drain, its failure domain was evacuated, its room shrank or the task crashed too many targets is
-/// rejected.
+/// Checks a placement again when it is applied. A placement that an earlier controller decided on
+/// before a target began to drain, its failure domain was evacuated, its capacity shrank or the
+/// task crashed too many targets is rejected.
 bool WorkflowStore::fits(const Workflow &workflow, const PlaceRuns &command) const
 {
     const StepAddress &step = command.step;
@@ -149,7 +150,8 @@
         && this->hasRoom(workflow, command);
 }
 
-/// Together with what is placed there, also if the room has shrunk since the placement was decided.
+/// True if the new placements fit beside the existing ones, even if the capacity has shrunk since
+/// they were decided on.
 bool WorkflowStore::hasRoom(const Workflow &workflow, const PlaceRuns &command) const
 {
     const Resources need = workflow.spec.steps[command.step.step].reserved();
@@ -162,10 +164,10 @@
     });
 }
 
-CommandOutcome WorkflowStore::on(const PlaceRuns &command)
+CommandOutcome WorkflowStore::applyCommand(const PlaceRuns &command)
 {
-    const auto found = this->all.find(command.step.workflow);
-    if (found == this->all.end() || !this->fits(found->second, command))
+    const auto found = this->workflowTable.find(command.step.workflow);
+    if (found == this->workflowTable.end() || !this->fits(found->second, command))
         return CommandOutcome::Rejected;
     Workflow &workflow = found->second;
     StepProgress &progress = workflow.step(command.step);
@@ -175,7 +177,7 @@
         task.phase = TaskPhase::Placed;
         task.run = command.run;
         task.incarnation = placement.incarnation;
-        IncarnationRecord &incarnation = this->lifeTable[placement.incarnation];
+        IncarnationRecord &incarnation = this->incarnationTable[placement.incarnation];
         incarnation.placed.insert({command.step, placement.index});
         incarnation.used += room;
         this->used[workflow.spec.account] += workflow.spec.steps[command.step.step].need;
@@ -186,7 +188,7 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const EndRuns &command)
+CommandOutcome WorkflowStore::applyCommand(const EndRuns &command)
 {
     bool hasChanged = false;
     for (const RunEnd &end : command.ends)
@@ -196,8 +198,8 @@
 
 bool WorkflowStore::endRun(const RunEnd &end, std::int64_t atMs)
 {
-    const auto found = this->all.find(end.task.step.workflow);
-    if (found == this->all.end())
+    const auto found = this->workflowTable.find(end.task.step.workflow);
+    if (found == this->workflowTable.end())
         return false;
     Workflow &workflow = found->second;
     const TaskProgress *known = workflow.task(end.task);
@@ -213,30 +215,32 @@
     else if (end.outcome == RunOutcome::Failed)
         this->fail(workflow, end);
     else if (end.outcome == RunOutcome::Lost || end.outcome == RunOutcome::LostEarly)
-        this->lose(workflow.spec.steps[end.task.step.step], end, incarnation);
-    this->settle(workflow, atMs);
+        this->countLoss(workflow.spec.steps[end.task.step.step], end, incarnation);
+    this->finishIfOver(workflow, atMs);
     return true;
 }
 
-/// A lasting task that was lost later than soon after its start has shown that it can run: over its
-/// whole life many of its targets crash.
-void WorkflowStore::lose(const StepSpec &spec, const RunEnd &end, IncarnationId incarnation)
+/// A long-running task that was lost some time after its start has proved that it can run: over its
+/// lifetime, many of its targets crash.
+void WorkflowStore::countLoss(const StepSpec &spec, const RunEnd &end, IncarnationId incarnation)
 {
     const bool isEarly = end.outcome == RunOutcome::LostEarly;
     if (spec.longRunning && !isEarly)
         this->lossTracker.forget(end.task);
     else
-        this->lossTracker.lost(incarnation, end.task, isEarly);
+        this->lossTracker.recordLoss(incarnation, end.task, isEarly);
 }
 
-/// Takes a run from its target's room and its account's total; the task waits again.
+/// Releases the resources of a run at its target and in the total of its client account. The task
+/// waits for its next placement.
 void WorkflowStore::release(Workflow &workflow, const TaskAddress &address)
 {
     const StepSpec &spec = workflow.spec.steps[address.step.step];
     StepProgress &progress = workflow.step(address.step);
     TaskProgress &task = progress.tasks[address.index];
-    const auto incarnation = this->lifeTable.find(task.incarnation);
-    if (incarnation != this->lifeTable.end() && incarnation->second.placed.erase(address) != 0)
+    const auto incarnation = this->incarnationTable.find(task.incarnation);
+    if (incarnation != this->incarnationTable.end()
+        && incarnation->second.placed.erase(address) != 0)
         incarnation->second.used -= spec.reserved();
     this->used[workflow.spec.account] -= spec.need;
     task.phase = TaskPhase::Waiting;
@@ -244,11 +248,11 @@
     --workflow.placed;
 }
 
-/// A lasting task that ended is started again. The members of a gang succeed together: the first
-/// end that is learned stands for all of its run.
+/// A long-running task that ended is started again. The members of a gang succeed together: the
+/// first success that is reported counts for the whole run.
 ///
-/// Guards against a gang that stays half done for ever: a member whose target left just before
-/// the end counts as lost and waits, and would wait for members that never run again.
+/// Guards against a gang that stays incomplete for ever: a member whose target left just before the
+/// end counts as lost and waits, and would wait for members that never run again.
 void WorkflowStore::succeed(Workflow &workflow, const TaskAddress &address)
 {
     const StepSpec &spec = workflow.spec.steps[address.step.step];
@@ -271,7 +275,7 @@
         --workflow.unfinishedSteps;
 }
 
-/// A gang fails once for each run in which any member failed.
+/// A gang counts one failure for each run in which any member failed.
 void WorkflowStore::fail(Workflow &workflow, const RunEnd &end)
 {
     const StepSpec &spec = workflow.spec.steps[end.task.step.step];
@@ -294,7 +298,7 @@
     workflow.hasFailed = true;
 }
 
-void WorkflowStore::settle(Workflow &workflow, std::int64_t atMs)
+void WorkflowStore::finishIfOver(Workflow &workflow, std::int64_t atMs)
 {
     if (!workflow.isOver())
         return;
@@ -304,81 +308,82 @@
     if (workflow.placed > 0)
         return;
     this->liveIds.erase(workflow.spec.id);
-    shed(workflow);
+    discardDetails(workflow);
 }
 
-CommandOutcome WorkflowStore::on(const RegisterIncarnation &command)
+CommandOutcome WorkflowStore::applyCommand(const RegisterIncarnation &command)
 {
     const IncarnationId known = this->newestIncarnation(command.identity.name);
     if (const IncarnationRecord *incarnation = this->find(known)) {
         if (incarnation->identity.startedAtMs >= command.identity.startedAtMs)
             return CommandOutcome::Unchanged;
     }
-    const auto number = static_cast<IncarnationId>(++this->lastLife);
+    const auto number = static_cast<IncarnationId>(++this->lastIncarnation);
     IncarnationRecord record;
     record.identity = command.identity;
-    this->lifeTable.emplace(number, std::move(record));
-    this->newest[command.identity.name] = number;
+    this->incarnationTable.emplace(number, std::move(record));
+    this->newestByName[command.identity.name] = number;
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const ForgetIncarnation &command)
+CommandOutcome WorkflowStore::applyCommand(const ForgetIncarnation &command)
 {
-    const auto found = this->lifeTable.find(command.incarnation);
-    if (found == this->lifeTable.end())
+    const auto found = this->incarnationTable.find(command.incarnation);
+    if (found == this->incarnationTable.end())
         return CommandOutcome::Unchanged;
     if (!found->second.placed.empty())
         return CommandOutcome::Rejected;
-    this->lossTracker.survived(command.incarnation);
-    const auto name = this->newest.find(found->second.identity.name);
-    if (name != this->newest.end() && name->second == command.incarnation)
-        this->newest.erase(name);
+    this->lossTracker.discardLosses(command.incarnation);
+    const auto name = this->newestByName.find(found->second.identity.name);
+    if (name != this->newestByName.end() && name->second == command.incarnation)
+        this->newestByName.erase(name);
     this->resizedBy.erase(command.incarnation);
-    this->lifeTable.erase(found);
+    this->incarnationTable.erase(found);
     return CommandOutcome::Applied;
 }
 
-/// What drains ends soon in any case: its end is no crash.
-CommandOutcome WorkflowStore::on(const MarkIncarnationCrashed &command)
+/// A draining target ends soon in any case, so its end does not count as a crash.
+CommandOutcome WorkflowStore::applyCommand(const MarkIncarnationCrashed &command)
 {
-    if (!this->lossTracker.hasOpen(command.incarnation))
+    if (!this->lossTracker.hasOpenLosses(command.incarnation))
         return CommandOutcome::Unchanged;
     const IncarnationRecord *incarnation = this->find(command.incarnation);
     if (incarnation != nullptr && incarnation->isDraining) {
-        this->lossTracker.survived(command.incarnation);
+        this->lossTracker.discardLosses(command.incarnation);
         return CommandOutcome::Applied;
     }
-    for (const TaskAddress &task : this->lossTracker.crashed(command.incarnation))
+    for (const TaskAddress &task : this->lossTracker.recordCrash(command.incarnation))
         this->giveUp(task, command.atMs);
     return CommandOutcome::Applied;
 }
 
-/// The task crashes what it is started on: its workflow has failed.
+/// The task crashes the targets that it is started on: its workflow has failed.
 void WorkflowStore::giveUp(const TaskAddress &address, std::int64_t atMs)
 {
-    const auto found = this->all.find(address.step.workflow);
-    if (found == this->all.end() || found->second.isOver())
+    const auto found = this->workflowTable.find(address.step.workflow);
+    if (found == this->workflowTable.end() || found->second.isOver())
         return;
     Workflow &workflow = found->second;
     TaskProgress &task = workflow.step(address.step).tasks[address.index];
     if (task.phase == TaskPhase::Waiting)
         task.phase = TaskPhase::Failed;
     workflow.hasFailed = true;
-    this->settle(workflow, atMs);
+    this->finishIfOver(workflow, atMs);
 }
 
-CommandOutcome WorkflowStore::on(const MarkIncarnationAlive &command)
+CommandOutcome WorkflowStore::applyCommand(const MarkIncarnationAlive &command)
 {
-    if (!this->lossTracker.hasOpen(command.incarnation))
+    if (!this->lossTracker.hasOpenLosses(command.incarnation))
         return CommandOutcome::Unchanged;
-    this->lossTracker.survived(command.incarnation);
+    this->lossTracker.discardLosses(command.incarnation);
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const ResizeIncarnation &command)
+CommandOutcome WorkflowStore::applyCommand(const ResizeIncarnation &command)
 {
-    const auto found = this->lifeTable.find(command.incarnation);
-    if (found == this->lifeTable.end() || found->second.identity.capacity == command.capacity)
+    const auto found = this->incarnationTable.find(command.incarnation);
+    if (found == this->incarnationTable.end()
+        || found->second.identity.capacity == command.capacity)
         return CommandOutcome::Unchanged;
     std::uint64_t &newestReport = this->resizedBy[command.incarnation];
     if (command.sequence < newestReport)
@@ -388,16 +393,16 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const SetIncarnationDraining &command)
+CommandOutcome WorkflowStore::applyCommand(const SetIncarnationDraining &command)
 {
-    const auto found = this->lifeTable.find(command.incarnation);
-    if (found == this->lifeTable.end() || found->second.isDraining == command.isDraining)
+    const auto found = this->incarnationTable.find(command.incarnation);
+    if (found == this->incarnationTable.end() || found->second.isDraining == command.isDraining)
         return CommandOutcome::Unchanged;
     found->second.isDraining = command.isDraining;
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const EvacuateDomain &command)
+CommandOutcome WorkflowStore::applyCommand(const EvacuateDomain &command)
 {
     const bool hasChanged = command.isEvacuated
         ? this->evacuated.insert(command.failureDomain).second
@@ -405,7 +410,7 @@
     return hasChanged ? CommandOutcome::Applied : CommandOutcome::Unchanged;
 }
 
-CommandOutcome WorkflowStore::on(const StoreDocument &command)
+CommandOutcome WorkflowStore::applyCommand(const StoreDocument &command)
 {
     if (command.version <= this->version)
         return CommandOutcome::Unchanged;
@@ -414,12 +419,13 @@
     return CommandOutcome::Applied;
 }
 
-CommandOutcome WorkflowStore::on(const ForgetWorkflows &command)
+CommandOutcome WorkflowStore::applyCommand(const ForgetWorkflows &command)
 {
     for (const WorkflowId id : command.ids) {
-        const auto found = this->all.find(id);
-        if (found != this->all.end() && found->second.isOver() && found->second.placed == 0)
-            this->all.erase(found);
+        const auto found = this->workflowTable.find(id);
+        if (found != this->workflowTable.end() && found->second.isOver()
+            && found->second.placed == 0)
+            this->workflowTable.erase(found);
     }
     return CommandOutcome::Applied;
 }
@@ -430,7 +436,8 @@
     bytes.append(formatMark);
     bytes.push_back(static_cast<char>(newestFormat));
     MemoryOutputArchive archive(bytes);
-    const_cast<WorkflowStore *>(this)->serialize(archive, newestFormat); // writing changes nothing
+    // Serialising for output does not modify the store.
+    const_cast<WorkflowStore *>(this)->serialize(archive, newestFormat);
     return bytes;
 }
 
@@ -440,12 +447,13 @@
         WorkflowStore read;
         const unsigned format = formatOf(snapshot);
         if (format > newestFormat)
-            return failure(ErrorCode::Corrupt, "the snapshot has a format that is not known");
+            return failure(ErrorCode::Corrupt,
+                           "the snapshot has a newer format than this version supports");
         const std::size_t head = format == firstFormat ? 0 : formatMark.size() + 1;
         MemoryInputArchive archive(snapshot.substr(head));
         read.serialize(archive, format);
         if (archive.bytesLeft() != 0)
-            return failure(ErrorCode::Corrupt, "the snapshot has bytes left over");
+            return failure(ErrorCode::Corrupt, "the snapshot has unexpected bytes at its end");
         *this = std::move(read);
         return boost::outcome_v2::success();
     } catch (const std::exception &problem) {
--- a/src/workflows/workflowstoremachine.cpp
+++ b/src/workflows/workflowstoremachine.cpp
@@ -8,7 +8,7 @@
 {
     const auto batch = decode<CommandBatch>(command);
     if (!batch)
-        return encode(CommandOutcomes()); // every replica holds the same bytes and rejects them
+        return encode(CommandOutcomes()); // every replica reads the same bytes and rejects them
     const std::lock_guard lock(this->mutex);
     return encode(this->store.apply(batch.value()));
 }
--- a/src/workflows/workflowstoremachine.h
+++ b/src/workflows/workflowstoremachine.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve::workflows {
 
-/// The book as the replicated log drives it. Read from any thread.
+/// Applies the replicated log to the workflow store. May be read from any thread.
 class WorkflowStoreMachine : public StateMachine
 {
 public:
@@ -16,7 +16,7 @@
     std::string takeSnapshot() override;
     Result<void> restoreSnapshot(const std::string &snapshot) override;
 
-    /// Calls \a reader with the book, which does not change meanwhile.
+    /// Calls \a reader with the store, which does not change during the call.
     template<typename Reader>
     auto read(Reader &&reader) const
     {
--- a/test/workflows/controllertest.cpp
+++ b/test/workflows/controllertest.cpp
@@ -26,8 +26,8 @@
         : Simulation(1, 2, 4000)
     {}
 
-    /// The target that runs the job's first task; empty: none.
-    std::string placeOf(std::uint16_t index = 0)
+    /// Name of the target that the task is placed on; empty: none.
+    std::string targetOf(std::uint16_t index = 0)
     {
         return this->machine.read([&](const WorkflowStore &store) {
             const TaskProgress *task = store.find(job)->task({{job, 0, 0}, index});
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ControllerFixture, "a workflow runs to its end", "[controller]")
+TEST_CASE_METHOD(ControllerFixture, "a workflow runs to completion", "[controller]")
 {
     this->submit(job, {StoreFixture::step(3), StoreFixture::gang(2)});
     this->runFor(Milliseconds(8000));
@@ -54,11 +54,12 @@
     CHECK(this->fleet.starts == 5);
 }
 
-TEST_CASE_METHOD(ControllerFixture, "an order whose answer is lost is sent again and runs once",
+TEST_CASE_METHOD(ControllerFixture,
+                 "an order whose answer is lost is sent again, and its task runs once",
                  "[controller]")
 {
-    // A target starts the task and its answer is lost. The order goes again under the same run
-    // number, and the target, which has it, only says so.
+    // A target starts the task and its answer is lost. The order is sent again with the same run
+    // number, and the target only confirms it.
     this->fleet.faults.lostAnswer = 0.5;
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(20000));
@@ -67,58 +68,62 @@
     CHECK(this->fleet.violation.empty());
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a silent target's task waits for its lease before it moves",
-                 "[controller]")
+TEST_CASE_METHOD(
+    ControllerFixture,
+    "the task of a silent target is started elsewhere only after its lease has expired",
+    "[controller]")
 {
-    // A target is cut off with a task that goes on there. Its caller would see the work done twice
-    // if it were started elsewhere before the target's lease is over by the target's own clock.
+    // A target is cut off while its task goes on there. The work would be done twice if it were
+    // started elsewhere before the lease has expired by the target's own clock.
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
-    const std::string first = this->placeOf();
+    const std::string first = this->targetOf();
     REQUIRE(!first.empty());
     this->fleet.cut(first, false);
     this->runFor(Milliseconds(5000));
-    CHECK(this->placeOf() == first);
+    CHECK(this->targetOf() == first);
     this->runFor(Milliseconds(8000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.starts == 2);
     CHECK(this->fleet.violation.empty());
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a target that hears but is not heard loses its lease",
+TEST_CASE_METHOD(ControllerFixture, "a target whose answers are lost does not keep its lease",
                  "[controller]")
 {
-    // The path is cut one way: questions arrive, answers do not. Each question used to carry a
-    // lease, so the target's work would never have been over, and never done.
+    // The path is cut in one direction: polls arrive, answers do not. If every poll carried a
+    // lease, the target's runs would never be over and their tasks never completed.
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
-    const std::string first = this->placeOf();
+    const std::string first = this->targetOf();
     this->fleet.cut(first, true);
     this->runFor(Milliseconds(15000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.violation.empty());
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a target reborn under its name has lost what it ran",
+TEST_CASE_METHOD(ControllerFixture, "a target that restarts under its name has lost its runs",
                  "[controller]")
 {
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
-    const std::string first = this->placeOf();
+    const std::string first = this->targetOf();
     this->fleet.crash(first);
     this->loop.runFor(Milliseconds(20));
     this->restart(first);
     this->runFor(Milliseconds(100));
-    CHECK(this->runOf() == 2); // at once: no lease has to run out
+    CHECK(this->runOf() == 2); // at once: no lease has to expire first
     this->runFor(Milliseconds(5000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
     CHECK(this->fleet.violation.empty());
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a new controller goes on with what runs", "[controller]")
+TEST_CASE_METHOD(ControllerFixture,
+                 "a new controller takes over running tasks without starting them again",
+                 "[controller]")
 {
-    // A controller is lost with work under way. The next one reads the targets' lists and starts
-    // nothing that runs already.
+    // A controller is lost while tasks are running. The next one reads the targets' lists and
+    // starts nothing that is already running.
     this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
     REQUIRE(this->fleet.starts == 4);
@@ -132,8 +137,9 @@
 TEST_CASE_METHOD(ControllerFixture, "a new controller starts work without waiting for heartbeats",
                  "[controller]")
 {
-    // Targets beat every 1.5 s, and those that beat at the lost controller need longer to find
-    // another. For 2 to 6 s after each change nothing was started, with all targets idle.
+    // Targets send heartbeats every 1.5 s, and those that sent them to the lost controller need
+    // longer to find the next one. A controller that waited for them would start nothing for 2 to 6
+    // s after each change, with all targets idle.
     this->changeController(Milliseconds(800));
     this->loop.runFor(Milliseconds(300));
     this->submit(job, {StoreFixture::step(1)});
@@ -141,7 +147,7 @@
     CHECK(this->fleet.starts == 1);
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a draining target gets nothing new, from any controller",
+TEST_CASE_METHOD(ControllerFixture, "a draining target receives no new work from any controller",
                  "[controller]")
 {
     this->drain("t1");
@@ -149,7 +155,7 @@
     this->submit(job, {StoreFixture::step(4)});
     this->runFor(Milliseconds(100));
     for (std::uint16_t i = 0; i < 4; ++i)
-        CHECK(this->placeOf(i) == "t2");
+        CHECK(this->targetOf(i) == "t2");
     this->changeController(Milliseconds(0));
     this->submit(static_cast<WorkflowId>(2), {StoreFixture::step(4)});
     this->loop.runFor(Milliseconds(1000));
@@ -159,12 +165,12 @@
     CHECK(onDraining == 0);
 }
 
-TEST_CASE_METHOD(ControllerFixture, "work of a target that left is started anew at once",
+TEST_CASE_METHOD(ControllerFixture, "tasks of a target that left are started again at once",
                  "[controller]")
 {
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
-    this->leave(this->placeOf());
+    this->leave(this->targetOf());
     this->runFor(Milliseconds(100));
     CHECK(this->runOf() == 2);
 }
@@ -180,57 +186,58 @@
     CHECK(this->isAllOver());
 }
 
-TEST_CASE("a target that fails everything gets little", "[controller]")
+TEST_CASE("a target that fails all its tasks receives few of them", "[controller]")
 {
-    // One target of eight fails what it is given, and says that it is well. Jobs went there first,
-    // one after the other, and each used up a try, or all it had.
+    // One target of eight fails all its tasks and reports that it is healthy. Without a limit, jobs
+    // go there first, one after the other, and each uses up one of its attempts, or all of them.
     Quiet quiet;
-    Simulation cell(1, 8, 4000);
+    Simulation simulation(1, 8, 4000);
     constexpr unsigned jobs = 48;
     StepSpec whole = StoreFixture::step(1);
     whole.need[ResourceKind::MilliCores] = 4000;
     for (unsigned i = 1; i <= jobs; ++i) {
-        if (i == 9) // each target has ended a task by then
-            cell.fleet.failing = "t1"; // the one that is chosen when all are empty
-        cell.submit(static_cast<WorkflowId>(i), {whole});
-        cell.runFor(Milliseconds(i < 9 ? 50 : 500));
+        if (i == 9) // each target has completed a task by then
+            simulation.fleet.failing = "t1"; // the one that is chosen when all targets are empty
+        simulation.submit(static_cast<WorkflowId>(i), {whole});
+        simulation.runFor(Milliseconds(i < 9 ? 50 : 500));
         if (i == 8)
-            cell.runFor(Milliseconds(6000));
+            simulation.runFor(Milliseconds(6000));
     }
-    cell.runFor(Milliseconds(10000));
+    simulation.runFor(Milliseconds(10000));
     for (unsigned i = 1; i <= jobs; ++i)
-        CHECK(cell.stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
-    CHECK(cell.fleet.failures <= 7); // two, and one each time that it may prove itself
-    CHECK(cell.fleet.violation.empty());
+        CHECK(simulation.stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
+    CHECK(simulation.fleet.failures <= 7); // two, and one for each probation
+    CHECK(simulation.fleet.violation.empty());
 }
 
-TEST_CASE("a gang does not wait for others to prove its targets", "[controller]")
+TEST_CASE("a gang does not wait for single tasks to end the probation of its targets",
+          "[controller]")
 {
-    // The cell has run empty but for one gang that needs all eight targets, and one of these had
-    // failed twice just before. No single task is left by which it could prove itself.
+    // Only one gang is left, which needs all eight targets, and one of these failed twice just
+    // before. No single task is left that could end the target's probation.
     Quiet quiet;
-    Simulation cell(1, 8, 4000);
+    Simulation simulation(1, 8, 4000);
     StepSpec whole = StoreFixture::step(1);
     whole.need[ResourceKind::MilliCores] = 4000;
     StepSpec all = whole;
     all.tasks = 8;
-    cell.submit(static_cast<WorkflowId>(1), {all});
-    cell.runFor(Milliseconds(6000));
-    cell.fleet.failing = "t1";
+    simulation.submit(static_cast<WorkflowId>(1), {all});
+    simulation.runFor(Milliseconds(6000));
+    simulation.fleet.failing = "t1";
     for (unsigned i = 2; i <= 3; ++i) {
-        cell.submit(static_cast<WorkflowId>(i), {whole});
-        cell.runFor(Milliseconds(i == 2 ? 6000 : 3000));
+        simulation.submit(static_cast<WorkflowId>(i), {whole});
+        simulation.runFor(Milliseconds(i == 2 ? 6000 : 3000));
     }
-    cell.fleet.failing.clear();
+    simulation.fleet.failing.clear();
     StepSpec gang = StoreFixture::gang(8);
     gang.need[ResourceKind::MilliCores] = 4000;
-    cell.submit(static_cast<WorkflowId>(9), {gang});
-    cell.runFor(Milliseconds(9000));
-    CHECK(cell.fleet.failures == 2);
-    CHECK(cell.stateOf(static_cast<WorkflowId>(9)) == WorkflowState::Completed);
+    simulation.submit(static_cast<WorkflowId>(9), {gang});
+    simulation.runFor(Milliseconds(9000));
+    CHECK(simulation.fleet.failures == 2);
+    CHECK(simulation.stateOf(static_cast<WorkflowId>(9)) == WorkflowState::Completed);
 }
 
-TEST_CASE_METHOD(ControllerFixture, "a replica that does not lead takes nothing", "[controller]")
+TEST_CASE_METHOD(ControllerFixture, "a replica that does not lead rejects commands", "[controller]")
 {
     this->controller().leadershipChanged(false, 0);
     bool wasRefused = false;
@@ -241,16 +248,17 @@
     CHECK(wasRefused);
 }
 
-TEST_CASE_METHOD(ControllerFixture, "work on a target that stands still is begun elsewhere",
+TEST_CASE_METHOD(ControllerFixture, "tasks on a stalled target are started elsewhere",
                  "[controller]")
 {
-    // A target goes on answering and beating while its tasks stand still. Callers of short work got
-    // it 3 to 7 s late, when the target went on. It is stopped there and begun elsewhere.
+    // A target keeps answering and sending heartbeats while its tasks make no progress. Short work
+    // would complete 3 to 7 s late, once the target continues. It is stopped there and started
+    // elsewhere instead.
     StepSpec spec = StoreFixture::step(1);
     spec.estimatedMs = 1000;
     this->submit(job, {spec});
     this->runFor(Milliseconds(50));
-    this->fleet.hanging = this->placeOf();
+    this->fleet.hanging = this->targetOf();
     REQUIRE(!this->fleet.hanging.empty());
     this->runFor(Milliseconds(7000));
     CHECK(this->stateOf(job) == WorkflowState::Completed);
--- a/test/workflows/crashingtasktest.cpp
+++ b/test/workflows/crashingtasktest.cpp
@@ -59,8 +59,8 @@
     CHECK(this->stateOf(job) == WorkflowState::Failed);
 }
 
-TEST_CASE_METHOD(CrashingTaskFixture, "work beside a task that crashes its targets is not given up",
-                 "[crashes]")
+TEST_CASE_METHOD(CrashingTaskFixture,
+                 "tasks that run beside one that crashes its targets are not given up", "[crashes]")
 {
     constexpr std::uint64_t neighbours = 20;
     this->submit(job, {StoreFixture::step(2)});
@@ -75,7 +75,7 @@
         CHECK(this->stateOf(static_cast<WorkflowId>(i)) == WorkflowState::Completed);
 }
 
-TEST_CASE_METHOD(CrashingTaskFixture, "work that is cut off again and again is not given up",
+TEST_CASE_METHOD(CrashingTaskFixture, "a task whose targets are cut off repeatedly is not given up",
                  "[crashes]")
 {
     this->fleet.crashing.clear();
@@ -94,13 +94,13 @@
     CHECK(this->fleet.violation.empty());
 }
 
-TEST_CASE_METHOD(CrashingTaskFixture, "work on targets that are cut off for long is not given up",
-                 "[crashes]")
+TEST_CASE_METHOD(CrashingTaskFixture,
+                 "a task whose targets are cut off for a long time is not given up", "[crashes]")
 {
     this->fleet.crashing.clear();
     this->submit(job, {StoreFixture::step(1)});
     IncarnationId cutOff = IncarnationId::None;
-    for (unsigned cuts = 0; cuts < TargetLossTracker::mostEarlyCrashes;) {
+    for (unsigned cuts = 0; cuts < TargetLossTracker::maxEarlyCrashes;) {
         this->runFor(Milliseconds(50));
         const TaskProgress task = this->machine.read([](const WorkflowStore &store) {
             return *store.find(job)->task({{job, 0, 0}, 0});
@@ -120,7 +120,7 @@
 
 namespace {
 
-constexpr std::uint64_t crashingOneIn = 15; ///< workflows
+constexpr std::uint64_t crashingOneIn = 15; ///< one workflow in this many
 
 void disturbTargets(Simulation &simulation, std::mt19937_64 &random)
 {
@@ -140,7 +140,7 @@
     }
 }
 
-void playCrashes(std::uint64_t seed)
+void runWithCrashes(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed, 12);
@@ -164,7 +164,7 @@
         if (number % crashingOneIn == 1)
             CHECK(isGivenUp);
         if (isGivenUp)
-            CHECK(simulation.fleet.crashesUnder(id) >= TargetLossTracker::mostEarlyCrashes);
+            CHECK(simulation.fleet.crashesUnder(id) >= TargetLossTracker::maxEarlyCrashes);
     }
 }
 
@@ -172,8 +172,8 @@
 
 } // namespace
 
-TEST_CASE("only work whose targets crash again and again is given up, whatever else happens",
+TEST_CASE("only tasks whose targets crash repeatedly are given up under random faults",
           "[crashes][random]")
 {
-    runSeeds(defaultSeeds, playCrashes);
+    runSeeds(defaultSeeds, runWithCrashes);
 }
--- a/test/workflows/reportfiltertest.cpp
+++ b/test/workflows/reportfiltertest.cpp
@@ -23,18 +23,19 @@
 
 } // namespace
 
-TEST_CASE("a report that was acknowledged is a repetition for a while", "[reports]")
+TEST_CASE("an acknowledged report counts as a repetition until one is due to be forwarded",
+          "[reports]")
 {
     ReportFilter filter;
     CHECK_FALSE(filter.isRepetition(reportOf("a", 1), start));
     filter.acknowledged(reportOf("a", 1), start);
     CHECK(filter.isRepetition(reportOf("a", 2), start + Milliseconds(1500)));
     CHECK_FALSE(filter.isRepetition(reportOf("b", 1), start));
-    CHECK_FALSE(filter.isRepetition(reportOf("a", 9), start + ReportFilter::passInterval));
+    CHECK_FALSE(filter.isRepetition(reportOf("a", 9), start + ReportFilter::forwardInterval));
 }
 
-// Guards against a drain that is acknowledged by an instance that has not told the controller.
-TEST_CASE("a report that says something new is no repetition", "[reports]")
+// Guards against a drain that an instance acknowledges without having told the controller.
+TEST_CASE("a report with new information is not a repetition", "[reports]")
 {
     ReportFilter filter;
     filter.acknowledged(reportOf("a", 1), start);
@@ -49,7 +50,7 @@
     CHECK_FALSE(filter.isRepetition(reportOf("a", 2), start));
 }
 
-TEST_CASE("targets that are gone are dropped from the table", "[reports]")
+TEST_CASE("targets that no longer report are dropped from the table", "[reports]")
 {
     ReportFilter filter;
     for (int i = 0; i < 100; ++i)
@@ -58,15 +59,14 @@
     CHECK(filter.size() == 1);
 }
 
-TEST_CASE("a report that is stored already is spread over the interval, not passed on at once",
-          "[reports]")
+TEST_CASE("reports that match the stored state are forwarded spread over the interval", "[reports]")
 {
     ReportFilter filter;
     constexpr int targets = 1000;
     int passed = 0;
     for (int i = 0; i < targets; ++i)
         CHECK(filter.acknowledgeStored(reportOf("t" + std::to_string(i), 1), start));
-    const Instant half = start + ReportFilter::passInterval / 2;
+    const Instant half = start + ReportFilter::forwardInterval / 2;
     for (int i = 0; i < targets; ++i)
         passed += filter.isRepetition(reportOf("t" + std::to_string(i), 2), half) ? 0 : 1;
     CHECK(passed > targets / 3);
@@ -74,12 +74,13 @@
     CHECK_FALSE(filter.isRepetition(reportOf("t1", 2, false), start));
 }
 
-TEST_CASE("an instance without a controller does not answer for it again and again", "[reports]")
+TEST_CASE("an instance that cannot reach the controller acknowledges a stored report only once",
+          "[reports]")
 {
     ReportFilter filter;
     REQUIRE(filter.acknowledgeStored(reportOf("a", 1), start));
-    const Instant later = start + ReportFilter::passInterval;
+    const Instant later = start + ReportFilter::forwardInterval;
     CHECK_FALSE(filter.isRepetition(reportOf("a", 2), later));
-    CHECK_FALSE(
-        filter.acknowledgeStored(reportOf("a", 2), later)); // it has to reach the controller
+    // The next report has to be forwarded to the controller.
+    CHECK_FALSE(filter.acknowledgeStored(reportOf("a", 2), later));
 }
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// A log that applies at once and keeps back what became of it, as for a replica whose disk stalls.
+/// A log that applies commands at once and withholds their outcomes, like that of a replica whose
+/// disk stalls.
 class HeldLog : public InMemoryLog
 {
 public:
@@ -43,11 +44,11 @@
 
 } // namespace
 
-// A controller's disk stalls while its placement is committed by the others. They elect another,
-// which runs the job to its end. When the disk goes on, the first controller hears of its
-// placement, before it hears that it no longer leads, and looked for the step of a job that is
-// over: it crashed.
-TEST_CASE("a placement that is told after its workflow is over starts nothing", "[controller]")
+// A controller's disk stalls while the other replicas commit its placement. They elect another
+// leader, which runs the job to completion. When the disk recovers, the first controller learns of
+// its placement before it learns that it no longer leads. It must not crash looking up a step of a
+// job that is over.
+TEST_CASE("a placement that is reported after its workflow is over starts nothing", "[controller]")
 {
     spdlog::set_level(spdlog::level::off);
     VirtualLoop loop;
--- a/test/workflows/storefixture.h
+++ b/test/workflows/storefixture.h
@@ -8,7 +8,8 @@
 
 namespace guavavalve::workflows {
 
-/// A book with targets "t1", "t2" ... and helpers that write its commands in one line each.
+/// A workflow store with targets "t1", "t2" ... and helpers that apply each of its commands in one
+/// line.
 class StoreFixture
 {
 public:
@@ -61,7 +62,7 @@
     static IncarnationId incarnation(unsigned number) { return static_cast<IncarnationId>(number); }
     static StepAddress at(std::uint16_t step) { return {job, 0, step}; }
 
-    /// Places task i of the step on the life at position i.
+    /// Places task i of the step on the incarnation at position i of the list.
     CommandOutcome place(std::uint16_t step, RunNumber run,
                          const std::vector<unsigned> &incarnations)
     {
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -24,7 +24,7 @@
     return "t" + std::to_string(number);
 }
 
-/// Who carries the orders of targets t1 to tN.
+/// Number of targets that each agent carries orders for, of targets t1 to tN.
 std::map<InstanceId, int> chooseAll(AgentPool &pool, int targets, Instant now)
 {
     std::map<InstanceId, int> byAgent;
@@ -47,7 +47,7 @@
     case 3:
         agents.wake(agent);
         break;
-    case 4: // the controller and an agent together
+    case 4: // the controller and an agent at the same time
         agents.freeze(agent);
         simulation.changeController(Milliseconds(800));
         break;
@@ -56,7 +56,7 @@
     }
 }
 
-void play(std::uint64_t seed)
+void runWithAgents(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     Simulation simulation(seed);
@@ -82,18 +82,20 @@
 
 } // namespace
 
-TEST_CASE("a fleet that one instance has connections for stays with the controller", "[agents]")
+TEST_CASE("the controller carries all orders of a fleet that its connections suffice for",
+          "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({"a", "b"}, start);
+    pool.setAgents({"a", "b"}, start);
     CHECK(chooseAll(pool, 100, start) == std::map<InstanceId, int>{{"own", 100}});
     CHECK(pool.sharedTargets() == 0);
 }
 
-TEST_CASE("targets beyond the controller's connections are shared evenly and stay", "[agents]")
+TEST_CASE("targets beyond the controller's connections are spread evenly and keep their agents",
+          "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({"a", "b"}, start);
+    pool.setAgents({"a", "b"}, start);
     const auto first = chooseAll(pool, 240, start);
     CHECK(first == std::map<InstanceId, int>{{"own", 100}, {"a", 70}, {"b", 70}});
     const InstanceId before = pool.choose(targetName(200), start);
@@ -101,50 +103,53 @@
     CHECK(pool.sharedTargets() == 140);
 }
 
-TEST_CASE("a doubted or missing agent carries nothing until it is good again", "[agents]")
+TEST_CASE("an unresponsive or missing agent carries nothing until it is available again",
+          "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({"a", "b"}, start);
+    pool.setAgents({"a", "b"}, start);
     chooseAll(pool, 150, start);
-    CHECK(pool.unanswered("a", true, start));
-    CHECK_FALSE(pool.unanswered("a", true, start));
+    CHECK(pool.recordFailure("a", true, start));
+    CHECK_FALSE(pool.recordFailure("a", true, start));
     CHECK(chooseAll(pool, 150, start) == std::map<InstanceId, int>{{"own", 100}, {"b", 50}});
-    pool.present({"a"}, start + Milliseconds(5000));
+    pool.setAgents({"a"}, start + Milliseconds(5000));
     CHECK(chooseAll(pool, 150, start + Milliseconds(5000))
           == std::map<InstanceId, int>{{"own", 100}, {"a", 50}});
 }
 
-TEST_CASE("an agent is not given up for one order that came to nothing", "[agents]")
+TEST_CASE("an agent that answered recently is not given up for one unanswered order", "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({"a"}, start);
+    pool.setAgents({"a"}, start);
     pool.answered("a", start);
-    CHECK_FALSE(pool.unanswered("a", false, start + Milliseconds(100)));
-    CHECK(pool.unanswered("a", false, start + Milliseconds(600)));
+    CHECK_FALSE(pool.recordFailure("a", false, start + Milliseconds(100)));
+    CHECK(pool.recordFailure("a", false, start + Milliseconds(600)));
     pool.answered("a", start + Milliseconds(3000));
-    CHECK(pool.unanswered("a", true, start + Milliseconds(3000)));
+    CHECK(pool.recordFailure("a", true, start + Milliseconds(3000)));
 }
 
-TEST_CASE("without agents the controller carries all, and hands over what is too much", "[agents]")
+TEST_CASE("without agents the controller carries all orders, and hands over the excess once there "
+          "are some",
+          "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({}, start);
+    pool.setAgents({}, start);
     CHECK(chooseAll(pool, 150, start) == std::map<InstanceId, int>{{"own", 150}});
-    pool.present({"a"}, start);
+    pool.setAgents({"a"}, start);
     CHECK(chooseAll(pool, 150, start) == std::map<InstanceId, int>{{"own", 100}, {"a", 50}});
 }
 
-TEST_CASE("targets without orders are not counted for ever", "[agents]")
+TEST_CASE("targets without orders are dropped from the counts", "[agents]")
 {
     AgentPool pool("own", 100);
-    pool.present({"a"}, start);
+    pool.setAgents({"a"}, start);
     chooseAll(pool, 150, start);
-    pool.present({"a"}, start + Milliseconds(30000));
+    pool.setAgents({"a"}, start + Milliseconds(30000));
     CHECK(pool.targetsOf("own") == 0);
     CHECK(pool.sharedTargets() == 0);
 }
 
-TEST_CASE("an order is carried whole, and the target's answer comes back", "[agents]")
+TEST_CASE("an order is carried unchanged, and the target's answer is returned", "[agents]")
 {
     spdlog::set_level(spdlog::level::off);
     VirtualLoop loop;
@@ -178,7 +183,7 @@
     CHECK(agents.carried == 2);
 }
 
-TEST_CASE("a start that no agent took is known not to have left", "[agents]")
+TEST_CASE("a start that no agent received is reported as not sent", "[agents]")
 {
     spdlog::set_level(spdlog::level::off);
     VirtualLoop loop;
@@ -194,12 +199,11 @@
     loop.runFor(Milliseconds(50));
     REQUIRE_FALSE(started);
     CHECK(started.error().ran == Ran::No);
-    CHECK(started.error().code == ErrorCode::LimitExceeded); // it tells nothing of the target
+    CHECK(started.error().code == ErrorCode::LimitExceeded); // it says nothing about the target
 }
 
-TEST_CASE(
-    "agents that freeze with orders in hand, are killed and wake run each task once at a time",
-    "[random][agents]")
+TEST_CASE("no task runs twice at a time while agents are frozen, killed and woken",
+          "[random][agents]")
 {
-    runSeeds(defaultSeeds, play);
+    runSeeds(defaultSeeds, runWithAgents);
 }
--- a/test/workflows/targetsessiontest.cpp
+++ b/test/workflows/targetsessiontest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Answers questions while it is told to, and remembers the leases that it was given.
+/// Answers orders until it is set to be silent, and records the leases that it was granted.
 class RecordingPort : public TargetPort
 {
 public:
@@ -71,7 +71,8 @@
     Instant lastGrantAt{};
     int starts = 0;
     OrderReply startReply = OrderReply::Done;
-    std::optional<Error> unsentStart; ///< no start leaves: what its sender is told
+    /// If set, no start is sent, and its sender receives this error.
+    std::optional<Error> unsentStart;
     std::vector<RunningTask> running;
     std::vector<ListedEnd> ends;
 };
@@ -86,7 +87,7 @@
             this->overAt = this->loop.now();
         };
         hooks.usableChanged = [] {};
-        hooks.lifeOver = [] {};
+        hooks.incarnationOver = [] {};
         hooks.runAfter = [this](Microseconds delay, std::function<void()> action) {
             this->loop.runAfter(delay, std::move(action));
         };
@@ -97,7 +98,7 @@
         this->session = std::make_shared<TargetSession>(static_cast<IncarnationId>(1), identity, 3,
                                                         this->limits, this->port, std::move(hooks),
                                                         [this] { return this->loop.now(); });
-        this->session->heard(true);
+        this->session->recordHeartbeat(true);
         this->session->begin();
         this->loop.runFor(Milliseconds(1000));
     }
@@ -135,8 +136,8 @@
 TEST_CASE_METHOD(SessionFixture, "a controller that is no longer current grants no lease",
                  "[session]")
 {
-    // A controller is cut off from the other replicas and not from a target. The next one counts
-    // this one's leases from its own election: one that is granted after that would let a run go
+    // A controller is cut off from the other replicas but not from a target. The next controller
+    // counts this one's leases from its own election: a lease granted after that would let a run go
     // on here while it is started elsewhere.
     CHECK(this->port.lastLease > 0);
     this->isCurrent = false;
@@ -152,10 +153,10 @@
 }
 
 TEST_CASE_METHOD(SessionFixture,
-                 "a start that its target refuses is told from one that came too late", "[session]")
+                 "a refused start is reported differently from one that found no room", "[session]")
 {
-    // It is over once its stop is confirmed and the lists do not have it: an earlier send of the
-    // same order may still be carried out until then.
+    // The run is over once its stop is confirmed and the lists do not contain it: until then an
+    // earlier copy of the order may still be carried out.
     const auto outcomeAfter = [this](OrderReply reply, std::uint16_t index) {
         this->port.startReply = reply;
         StartOrder order;
@@ -171,11 +172,11 @@
     CHECK(outcomeAfter(OrderReply::NoRoom, 2) == RunOutcome::NeverStarted);
 }
 
-TEST_CASE_METHOD(SessionFixture, "a lease is over only by the slowest clock that is allowed",
+TEST_CASE_METHOD(SessionFixture, "a lease expires only by the slowest clock that a target may have",
                  "[session]")
 {
-    // A target falls silent. Its clock may be 2% slow, so what it runs may go on for that much
-    // longer than the lease that it was granted last.
+    // A target falls silent. Its clock may be 2% slow, so its runs may go on for that much longer
+    // than the last granted lease.
     this->startTask();
     this->tickFor(Milliseconds(1000));
     this->port.isSilent = true;
@@ -187,11 +188,12 @@
     CHECK(this->overAt <= this->port.lastGrantAt + slowest + Milliseconds(1000));
 }
 
-TEST_CASE_METHOD(SessionFixture, "work on a target that falls silent is free one lease later",
+TEST_CASE_METHOD(SessionFixture,
+                 "the tasks of a target that falls silent are released after one lease",
                  "[session]")
 {
-    // A target is cut off. The leases that orders and questions went on granting, to nobody, kept
-    // its work from being begun elsewhere for 3.5 s more than the lease that it could have had.
+    // A target is cut off. If unanswered orders and polls kept extending the lease, its work would
+    // start elsewhere 3.5 s later than the last lease that the target can have received requires.
     this->startTask();
     this->tickFor(Milliseconds(1000));
     this->port.isSilent = true;
@@ -205,25 +207,25 @@
     }
     this->tickFor(Milliseconds(9000));
     REQUIRE(this->over.size() == 8);
-    const Milliseconds drift = this->limits.lease * this->limits.clockDrift / 1000;
+    const Milliseconds drift = this->limits.lease * this->limits.maxClockDriftPerThousand / 1000;
     CHECK(this->overAt <= silentAt + this->limits.lease + drift + this->limits.leaseMargin
-              + this->limits.resendPause + Milliseconds(100)); // the oldest answer, and a tick
+              + this->limits.resendDelay + Milliseconds(100)); // the last answer\'s age, a tick
 }
 
-TEST_CASE_METHOD(SessionFixture, "a target that leaves a start unanswered is given no more",
+TEST_CASE_METHOD(SessionFixture, "a target that leaves a start unanswered receives no new work",
                  "[session]")
 {
-    // For 1.7 s after it was cut off, until a question was over, a target was given new work, all
-    // of which then waited for its lease to run out.
+    // Without this check a target receives new work for 1.7 s after it was cut off, until a poll
+    // has timed out, and all of that work then waits for its lease to expire.
     REQUIRE(this->session->isUsable());
     this->port.isSilent = true;
     this->startTask();
-    this->tickFor(this->limits.startPatience + Milliseconds(20));
+    this->tickFor(this->limits.unansweredStartLimit + Milliseconds(20));
     CHECK_FALSE(this->session->isUsable());
 }
 
-// Guards against a task that waits for a lease to run out although its start was never sent.
-TEST_CASE_METHOD(SessionFixture, "a run whose start never left is over at once", "[session]")
+// Guards against a task that waits for a lease to expire although its start was never sent.
+TEST_CASE_METHOD(SessionFixture, "a run whose start was never sent is over at once", "[session]")
 {
     this->port.unsentStart = failure(ErrorCode::LimitExceeded, "no connection came free");
     this->startTask();
@@ -234,8 +236,9 @@
     CHECK(this->port.starts == 1);
 }
 
-// Guards against a leader that runs short of connections and holds its targets for lost.
-TEST_CASE_METHOD(SessionFixture, "a start held up on this side says nothing of its target",
+// Guards against a leader that runs out of connections and treats its targets as lost.
+TEST_CASE_METHOD(SessionFixture,
+                 "a lack of connections on this side does not make the target unusable",
                  "[session]")
 {
     this->port.unsentStart = failure(ErrorCode::LimitExceeded, "no connection came free");
@@ -245,8 +248,8 @@
     CHECK(this->session->isUsable());
 }
 
-// Guards against work that is placed again and again on a target that takes no connection.
-TEST_CASE_METHOD(SessionFixture, "a target that takes no connection is given nothing for a while",
+// Guards against placing work repeatedly on a target that accepts no connection.
+TEST_CASE_METHOD(SessionFixture, "a target that accepts no connection receives no work for a while",
                  "[session]")
 {
     this->port.unsentStart = failure(ErrorCode::Unavailable, "cannot connect");
@@ -254,12 +257,14 @@
     this->port.running.clear();
     this->tickFor(Milliseconds(110));
     CHECK_FALSE(this->session->isUsable());
-    this->tickFor(this->limits.startPatience);
+    this->tickFor(this->limits.unansweredStartLimit);
     CHECK(this->session->isUsable());
 }
 
 // Guards against a second run beside a first one whose start did arrive.
-TEST_CASE_METHOD(SessionFixture, "a start that may have left once keeps its lease", "[session]")
+TEST_CASE_METHOD(SessionFixture,
+                 "a run whose start may have been sent is not over before its lease expires",
+                 "[session]")
 {
     this->port.isSilent = true;
     this->startTask();
@@ -269,37 +274,40 @@
     CHECK(this->over.empty());
 }
 
-// Guards against a run that stays unsettled while its target answers all but its start.
-TEST_CASE_METHOD(SessionFixture, "a start that is never answered is given up and stopped",
+// Guards against a run that stays unresolved while its target answers everything but its start.
+TEST_CASE_METHOD(SessionFixture, "a start that is never carried out is given up and stopped",
                  "[session]")
 {
     this->port.startReply = OrderReply::Late;
     this->startTask();
     this->port.running.clear();
-    this->tickFor(this->limits.startLimit + Milliseconds(1500));
+    this->tickFor(this->limits.startTimeout + Milliseconds(1500));
     REQUIRE(this->over.size() == 1);
     CHECK(this->over[0].outcome == RunOutcome::NeverStarted);
 }
 
-// Guards against a busy leader that takes sound targets out because it reads their answers late.
-TEST_CASE_METHOD(SessionFixture, "patience with a target follows the lag of the own loop",
+// Guards against a busy leader that stops using healthy targets because it reads their answers
+// late.
+TEST_CASE_METHOD(SessionFixture,
+                 "the limit for unanswered starts is extended by the lag of the controller's loop",
                  "[session]")
 {
     this->ownLag = Milliseconds(600);
     this->port.isSilent = true;
     this->startTask();
-    this->tickFor(this->limits.startPatience + Milliseconds(20));
+    this->tickFor(this->limits.unansweredStartLimit + Milliseconds(20));
     CHECK(this->session->isUsable());
 }
 
-// Guards against a task that runs again after a target listed its end in the moment it left.
-TEST_CASE_METHOD(SessionFixture, "an end that a leaving target still lists counts", "[session]")
+// Guards against running a task again after a target listed its end at the moment it left.
+TEST_CASE_METHOD(SessionFixture, "an end that a leaving target still lists is reported",
+                 "[session]")
 {
     this->startTask();
-    this->tickFor(Milliseconds(510)); // a question is under way
+    this->tickFor(Milliseconds(510)); // a poll is pending
     this->port.running.clear();
     this->port.ends = {{1, this->task, 1, RunOutcome::Succeeded, ""}};
-    this->tickFor(Milliseconds(100)); // the next one will be answered with the end
+    this->tickFor(Milliseconds(100)); // the next poll will be answered with the end
     bool isGone = false;
     this->over.clear();
     this->session->leave([&isGone] { isGone = true; });
@@ -311,7 +319,7 @@
     CHECK(this->over[0].outcome == RunOutcome::Succeeded);
 }
 
-TEST_CASE_METHOD(SessionFixture, "a target that leaves without a last answer takes its runs along",
+TEST_CASE_METHOD(SessionFixture, "the runs of a target that leaves without a last answer are lost",
                  "[session]")
 {
     this->startTask();
@@ -320,7 +328,7 @@
     this->tickFor(Milliseconds(150));
     bool isGone = false;
     this->session->leave([&isGone] { isGone = true; });
-    this->tickFor(this->limits.farewellLimit + Milliseconds(20));
+    this->tickFor(this->limits.finalAnswerTimeout + Milliseconds(20));
     CHECK(isGone);
     REQUIRE(this->over.size() == 1);
     CHECK(this->over[0].outcome == RunOutcome::Lost);
