--- a/test/workflows/workflowstoretest.cpp
+++ b/test/workflows/workflowstoretest.cpp
@@ -24,10 +24,10 @@
     CHECK(f.store.placedByAccount().at("a") == Resources{});
 }
 
-TEST_CASE("a workflow that is sent again joins the first", "[book]")
+TEST_CASE("a workflow that is submitted again joins the existing one", "[book]")
 {
-    // A caller loses the answer to its submit and sends it again, to another instance and with the
-    // work under way. It must stay one workflow, or each of its tasks would run twice.
+    // A caller that loses the answer to its submit sends it again to another instance, while the
+    // work is already running. It must remain one workflow, or each of its tasks would run twice.
     StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
@@ -48,8 +48,8 @@
 
 TEST_CASE("an end of an earlier run changes nothing", "[book]")
 {
-    // A target is cut off, its run is taken for over and started elsewhere. The target comes back
-    // and lists the end of the run that it had: it must not end the one that goes on elsewhere.
+    // A target is cut off, and its run is declared over and started elsewhere. When the target
+    // comes back and lists the end of its earlier run, this must not end the run elsewhere.
     StoreFixture f;
     f.accept({f.step(1)});
     f.place(0, 1, {1});
@@ -60,7 +60,7 @@
     CHECK(f.task(0, 0).run == 2);
 }
 
-TEST_CASE("only ends by failure count against the attempts", "[book]")
+TEST_CASE("only failures count towards the failure limit", "[book]")
 {
     StoreFixture f;
     f.accept({f.step(1)});
@@ -80,7 +80,7 @@
     CHECK(f.place(0, ++run, {1}) == CommandOutcome::Rejected);
 }
 
-TEST_CASE("a gang fails once for a run, however many members failed", "[book]")
+TEST_CASE("a gang counts one failure per run, however many of its members failed", "[book]")
 {
     StoreFixture f;
     f.accept({f.gang(3)});
@@ -94,11 +94,12 @@
     CHECK(f.workflow().state() == WorkflowState::Failed);
 }
 
-TEST_CASE("a gang whose end is told by one member is done, though others were lost", "[book]")
+TEST_CASE("a gang completes when one member reports success, even if other members were lost",
+          "[book]")
 {
-    // A gang finishes while one of its targets leaves: that member's end is never heard, and it
-    // counts as lost; then another member lists the gang's success. The gang was left with some
-    // members done and one waiting, never to be started again: its caller waited for ever.
+    // A gang finishes while one of its targets leaves: that member's end is never received and the
+    // member counts as lost; then another member lists the gang's success. If the gang is left with
+    // some members done and one waiting, it is never started again and its caller waits for ever.
     StoreFixture f;
     f.accept({f.gang(3), f.step(1, {0})});
     f.place(0, 1, {1, 2, 3});
@@ -106,13 +107,14 @@
     f.end(0, 1, 1, RunOutcome::Succeeded);
     CHECK(f.workflow().step(f.at(0)).isDone());
     CHECK(f.store.find(f.incarnation(3))->used == Resources{});
-    f.end(0, 2, 1, RunOutcome::Succeeded); // listed later: nothing more to tell
+    f.end(0, 2, 1, RunOutcome::Succeeded); // listed later: no effect
     CHECK(f.place(1, 1, {1}) == CommandOutcome::Applied);
     f.end(1, 0, 1, RunOutcome::Succeeded);
     CHECK(f.workflow().state() == WorkflowState::Completed);
 }
 
-TEST_CASE("a cancelled workflow starts nothing more and goes when its tasks have ended", "[book]")
+TEST_CASE("a cancelled workflow starts nothing more and can be removed after its tasks have ended",
+          "[book]")
 {
     StoreFixture f;
     f.accept({f.step(2)});
@@ -122,14 +124,14 @@
     CHECK(f.apply(CancelWorkflow{f.job, 9}) == CommandOutcome::Unchanged);
     CHECK(f.store.live().count(f.job) == 1);
     CHECK(f.apply(ForgetWorkflows{{f.job}}) == CommandOutcome::Applied);
-    CHECK(f.store.find(f.job) != nullptr); // its task is still there
+    CHECK(f.store.find(f.job) != nullptr); // its task is still placed
     f.end(0, 0, 1, RunOutcome::Stopped);
     CHECK(f.store.live().empty());
     f.apply(ForgetWorkflows{{f.job}});
     CHECK(f.store.find(f.job) == nullptr);
 }
 
-TEST_CASE("a lasting task waits again however it ended", "[book]")
+TEST_CASE("a long-running task waits for its next start however it ended", "[book]")
 {
     StoreFixture f;
     StepSpec longRunning = f.step(1);
@@ -145,7 +147,7 @@
     CHECK(f.workflow().state() == WorkflowState::Running);
 }
 
-TEST_CASE("checkpoints are carried on, and the newest known one is kept", "[book]")
+TEST_CASE("the newest known checkpoint of a task is kept across runs", "[book]")
 {
     StoreFixture f;
     f.accept({f.step(1)});
@@ -156,7 +158,7 @@
     CHECK(f.task(0, 0).checkpoint == "half");
 }
 
-TEST_CASE("an earlier life of a target does not come back", "[book]")
+TEST_CASE("a late registration of an earlier incarnation is ignored", "[book]")
 {
     StoreFixture f(1);
     CHECK(f.registerIncarnation("t1", 2) == CommandOutcome::Applied);
@@ -165,7 +167,7 @@
     CHECK(f.store.newestIncarnation("t1") == f.incarnation(2));
 }
 
-TEST_CASE("a life with something placed on it is not forgotten", "[book]")
+TEST_CASE("an incarnation with placed tasks is not forgotten", "[book]")
 {
     StoreFixture f;
     f.accept({f.step(1)});
@@ -187,10 +189,10 @@
     CHECK(f.store.documentVersion() == 9);
 }
 
-TEST_CASE("draining is remembered with the life", "[book]")
+TEST_CASE("a snapshot keeps the draining state of an incarnation", "[book]")
 {
-    // A target says that it drains and is acknowledged; then the controller is lost. The next one
-    // has not heard the target, and must not start anything there.
+    // A target's report that it drains is acknowledged, and then the controller is lost. The next
+    // controller has not heard from the target and must not start anything there.
     StoreFixture f;
     CHECK(f.apply(SetIncarnationDraining{f.incarnation(1), true}) == CommandOutcome::Applied);
     WorkflowStore later;
@@ -199,7 +201,8 @@
     CHECK(f.apply(SetIncarnationDraining{f.incarnation(1), true}) == CommandOutcome::Unchanged);
 }
 
-TEST_CASE("a snapshot holds the whole book, and a broken one changes nothing", "[book]")
+TEST_CASE("a snapshot holds the whole store, and restoring a truncated one changes nothing",
+          "[book]")
 {
     StoreFixture f;
     f.accept({f.gang(2), f.step(1, {0})});
@@ -216,9 +219,9 @@
     CHECK(kept.snapshot() == snapshot);
 }
 
-// A replica's memory grew with every workflow that had ended in the last three minutes, mostly by
-// payloads that no target would be sent again. What a caller may ask for stays.
-TEST_CASE("a workflow that is over keeps its outcome and no payload", "[book]")
+// Guards against memory that grows with every workflow that ended in the last three minutes, mostly
+// through payloads that are not sent to any target again. What a caller may ask for is kept.
+TEST_CASE("a finished workflow keeps its outcome and discards its payload", "[book]")
 {
     StoreFixture fixture;
     fixture.accept({StoreFixture::step(2)});
@@ -231,12 +234,13 @@
     CHECK(fixture.workflow().spec.account == "a");
     CHECK(fixture.workflow().spec.payload.empty());
     CHECK(fixture.workflow().occurrences.empty());
-    // A late word of a run that is over, and the same workflow handed in again, change nothing.
+    // A late end of a run that is over, and a second submission of the workflow, change nothing.
     CHECK(fixture.end(0, 1, 1, RunOutcome::Failed) == CommandOutcome::Unchanged);
     CHECK(fixture.accept({StoreFixture::step(2)}) == CommandOutcome::Joined);
 }
 
-// A cancelled workflow sheds nothing while runs of it may go on: they are still to be stopped.
+// A cancelled workflow discards nothing while its runs may go on, because they still have to be
+// stopped.
 TEST_CASE("a cancelled workflow keeps its tasks until the last run is over", "[book]")
 {
     StoreFixture fixture;
@@ -248,7 +252,7 @@
     CHECK(fixture.workflow().occurrences.empty());
 }
 
-TEST_CASE("the book knows whether a target's report says anything new", "[book]")
+TEST_CASE("the store recognises reports that contain nothing new", "[book]")
 {
     StoreFixture f(1);
     TargetIdentity identity = f.store.find(f.incarnation(1))->identity;
