--- a/src/workflows/carriedorder.h
+++ b/src/workflows/carriedorder.h
@@ -14,17 +14,18 @@
 
 /// An order of the controller that another instance carries to its target.
 ///
-/// It may be carried late, as one may be that the target itself is slow to take: its term, the
-/// run's number and a lease on the target's own clock decide there whether it still holds.
+/// It may arrive late, like any order that the target is slow to accept. The target decides by the
+/// order's term, its run number and a lease on the target's own clock whether it is still valid.
 struct CarriedOrder
 {
-    std::string target; ///< its name
+    std::string target; ///< target name
     std::int64_t startedAtMs = 0;
     std::string address;
     std::variant<StartOrder, StopOrder, HoldOrder> order;
-    /// From its arrival, since clocks differ: for the answer, and for leaving the line.
+    /// Time for the answer, counted from the order's arrival since clocks differ between instances.
     std::int64_t answerWithinMs = 0;
-    std::int64_t leaveWithinMs = 0; ///< of starts
+    /// Time for sending a start to its target, counted in the same way.
+    std::int64_t leaveWithinMs = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -34,7 +35,7 @@
     }
 };
 
-/// What came of it: the target's answer, or why there is none.
+/// The outcome of a carried order: the target's answer, or the error that took its place.
 struct CarriedAnswer
 {
     std::variant<Error, OrderAnswer, HoldAnswer> answer;
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// A log that applies at once and keeps back what became of it, as for a replica whose disk stalls.
+/// A log that applies commands at once and withholds their outcomes, like that of a replica whose
+/// disk stalls.
 class HeldLog : public InMemoryLog
 {
 public:
@@ -25,7 +26,7 @@
         InMemoryLog::propose(std::move(command),
                              [this, done = std::move(done)](Result<std::string> outcome) {
                                  if (this->isHolding)
-                                     this->held.emplace_back(done, std::move(outcome));
+                                     this->withheldOutcomes.emplace_back(done, std::move(outcome));
                                  else
                                      done(std::move(outcome));
                              });
@@ -33,21 +34,21 @@
     void release()
     {
         this->isHolding = false;
-        for (auto &[done, outcome] : std::exchange(this->held, {}))
+        for (auto &[done, outcome] : std::exchange(this->withheldOutcomes, {}))
             done(std::move(outcome));
     }
 
     bool isHolding = false;
-    std::vector<std::pair<Done<std::string>, Result<std::string>>> held;
+    std::vector<std::pair<Done<std::string>, Result<std::string>>> withheldOutcomes;
 };
 
 } // namespace
 
-// A controller's disk stalls while its placement is committed by the others. They elect another,
-// which runs the job to its end. When the disk goes on, the first controller hears of its
-// placement, before it hears that it no longer leads, and looked for the step of a job that is
-// over: it crashed.
-TEST_CASE("a placement that is told after its workflow is over starts nothing", "[controller]")
+// A controller's disk stalls while the other replicas commit its placement. They elect another
+// leader, which runs the job to completion. When the disk recovers, the first controller learns of
+// its placement before it learns that it no longer leads. It must not crash looking up a step of a
+// job that is over.
+TEST_CASE("a placement that is reported after its workflow is over starts nothing", "[controller]")
 {
     spdlog::set_level(spdlog::level::off);
     VirtualLoop loop;
@@ -83,7 +84,7 @@
     fleet.announce(spec);
     controller.submit(spec, [&](const Result<CommandOutcome> &) { log.isHolding = true; });
     loop.runFor(Milliseconds(50));
-    REQUIRE(log.held.size() == 1); // the placement
+    REQUIRE(log.withheldOutcomes.size() == 1); // the placement
     const TaskAddress task{{StoreFixture::job, 0, 0}, 0};
     const EndRuns later{{{task, 1, RunOutcome::Succeeded, "", 1}}, loop.nowMs()};
     machine.apply(99, encode(CommandBatch{later}));
