--- a/src/workflows/agentpool.h
+++ b/src/workflows/agentpool.h
@@ -33,9 +33,9 @@
     const InstanceId &choose(const std::string &target, Instant now);
     /// \a agent has returned the outcome of an order.
     void answered(const InstanceId &agent, Instant now);
-    /// An order sent to \a agent got no reply. The agent carries nothing for a while if it \a
-    /// isUnreachable or has not answered any order recently. Returns true if this makes a
-    /// responsive agent count as unresponsive.
+    /// An order sent to \a agent got no reply. If \a isUnreachable, or if the agent has not
+    /// answered any order recently, it carries nothing for a while. Returns true if it counted as
+    /// responsive before and no longer does.
     bool recordFailure(const InstanceId &agent, bool isUnreachable, Instant now);
 
     std::size_t targetsOf(const InstanceId &agent) const;
@@ -59,7 +59,7 @@
     std::set<InstanceId> agents;
     std::map<InstanceId, Instant> unresponsiveUntil;
     std::map<InstanceId, Instant> answeredAt;
-    std::unordered_map<std::string, Assignment> assignments; ///< by the target's name
+    std::unordered_map<std::string, Assignment> assignments; ///< by target name
     std::map<InstanceId, std::size_t> counts; ///< number of assigned targets
     Instant nextDrop{};
 };
--- a/src/workflows/carriedorder.h
+++ b/src/workflows/carriedorder.h
@@ -14,19 +14,18 @@
 
 /// An order of the controller that another instance carries to its target.
 ///
-/// It may arrive late, just as an order may that the target itself is slow to accept: by its term,
-/// its run number and a lease on the target's own clock, the target decides whether the order is
-/// still valid.
+/// It may arrive late, like any order that the target is slow to accept. The target decides by the
+/// order's term, its run number and a lease on the target's own clock whether it is still valid.
 struct CarriedOrder
 {
     std::string target; ///< target name
     std::int64_t startedAtMs = 0;
     std::string address;
     std::variant<StartOrder, StopOrder, HoldOrder> order;
-    /// Counted from the order's arrival, since clocks differ between instances: the time for the
-    /// answer, and for sending the order to its target.
+    /// Time for the answer, counted from the order's arrival since clocks differ between instances.
     std::int64_t answerWithinMs = 0;
-    std::int64_t leaveWithinMs = 0; ///< for starts only
+    /// Time for sending a start to its target, counted in the same way.
+    std::int64_t leaveWithinMs = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/commands/markincarnationcrashed.h
+++ b/src/workflows/commands/markincarnationcrashed.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve::workflows {
 
-/// The process of an incarnation is gone although its target did not announce that it leaves: the
+/// The process of an incarnation has ended although its target did not announce that it leaves: the
 /// runs lost with it count as lost to a crash.
 struct MarkIncarnationCrashed
 {
--- a/src/workflows/controller.cpp
+++ b/src/workflows/controller.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t targetsPerSuspension = 4;
 /// One in this many targets may be reserved at a time for tasks on trial.
 constexpr std::size_t targetsPerTrial = 4;
-/// The pause after a plan, as a multiple of the time that the plan took. Planning then never takes
-/// more than a quarter of the loop's time.
+/// The pause after a plan, as a multiple of the time that the plan took. Planning never takes more
+/// than a quarter of the loop's time.
 constexpr int planPauseFactor = 3;
 /// A loop delay beyond this is logged: orders and answers are delayed as much.
 constexpr Milliseconds loopLagLogThreshold{100};
@@ -76,7 +76,7 @@
         barrier(this->notLeading());
     this->leads = nowLeads;
     this->term = newTerm;
-    this->isBatchUnderWay = false;
+    this->isBatchPending = false;
     if (!nowLeads)
         return;
     this->refreshPolicy();
@@ -163,7 +163,7 @@
 /// together share a batch.
 void Controller::flush()
 {
-    if (this->isBatchUnderWay || this->isFlushQueued || !this->leads)
+    if (this->isBatchPending || this->isFlushQueued || !this->leads)
         return;
     this->isFlushQueued = true;
     this->options.post([this, alive = this->alive] {
@@ -175,7 +175,7 @@
 void Controller::flushNow()
 {
     this->isFlushQueued = false;
-    if (this->isBatchUnderWay || !this->leads)
+    if (this->isBatchPending || !this->leads)
         return;
     std::vector<Pending> batch = std::exchange(this->pending, {});
     const Instant now = this->options.clock();
@@ -215,7 +215,7 @@
         proposed->done.push_back(std::move(one.done));
         commands.push_back(std::move(one.command));
     }
-    this->isBatchUnderWay = true;
+    this->isBatchPending = true;
     this->log.propose(encode(commands),
                       [this, alive = this->alive, post = this->options.post,
                        proposed](Result<std::string> outcome) {
@@ -252,7 +252,7 @@
     }
     const bool isOurTerm = this->leads && this->term == proposed.term;
     if (isOurTerm)
-        this->isBatchUnderWay = false;
+        this->isBatchPending = false;
     Result<CommandOutcomes> outcomes = failure(ErrorCode::Unavailable, "the batch was not stored");
     if (!outcome)
         outcomes = outcome.error();
--- a/src/workflows/controller.h
+++ b/src/workflows/controller.h
@@ -73,7 +73,7 @@
     /// This replica leads in \a term and has applied all earlier entries, or it no longer leads.
     void leadershipChanged(bool leads, std::uint64_t term);
 
-    /// True while no other controller can have made decisions since: the store is then up to date.
+    /// True while no later controller can have made decisions yet: the store is then up to date.
     bool isCurrent() const;
 
     /// \errors those of ReplicatedLog::propose(), also for the next three functions.
@@ -81,7 +81,7 @@
     void cancel(WorkflowId id, Done<CommandOutcome> done);
     void storeDocument(std::int64_t version, std::string text, Done<CommandOutcome> done);
     /// Evacuates \a failureDomain, so that nothing new is started on its targets, or reopens it.
-    /// Runs on its targets go on. Repeating a call has no effect; of contradictory calls the one
+    /// Runs on its targets continue. Repeating a call has no effect; of contradictory calls the one
     /// stored last is in effect.
     void evacuate(const std::string &failureDomain, bool isEvacuated, Done<CommandOutcome> done);
     /// True if all known targets for \a queue are in evacuated failure domains.
@@ -105,7 +105,7 @@
     /// long.
     Microseconds loopLag() const { return this->lag; }
     /// Number of unfinished workflows of \a queue of which, as far as is known here, no task has
-    /// begun on a target.
+    /// started on a target.
     std::size_t waitingIn(const std::string &queue) const;
 
 private:
@@ -187,7 +187,7 @@
 
     bool leads = false;
     std::uint64_t term = 0;
-    bool isBatchUnderWay = false;
+    bool isBatchPending = false;
     bool isFlushQueued = false;
     bool needsPlan = false;
     bool isPlanQueued = false;
--- a/src/workflows/controlleradmissions.cpp
+++ b/src/workflows/controlleradmissions.cpp
@@ -19,7 +19,7 @@
 constexpr Milliseconds admissionRetryDelay{100};
 /// The most that may pass between the creation of a ticket and its arrival here.
 constexpr Milliseconds maxTicketAge{100};
-/// Capacity is claimed for a step no longer than this: a query about a few targets takes 0.6 s.
+/// Room is claimed for a step no longer than this: a query about a few targets takes 0.6 s.
 constexpr Milliseconds claimDuration{1500};
 
 } // namespace
--- a/src/workflows/controllercounts.cpp
+++ b/src/workflows/controllercounts.cpp
@@ -14,12 +14,12 @@
 void Controller::countFirstStart(const PlaceRuns &command, const WorkflowStore &store) const
 {
     const Workflow &workflow = *store.find(command.step.workflow);
-    std::size_t begun = 0;
+    std::size_t startedTasks = 0;
     for (const StepProgress &step : workflow.occurrences[command.step.occurrence]) {
         for (const TaskProgress &task : step.tasks)
-            begun += task.run > 0 ? 1 : 0;
+            startedTasks += task.run > 0 ? 1 : 0;
     }
-    if (command.run == 1 && begun == command.placements.size())
+    if (command.run == 1 && startedTasks == command.placements.size())
         this->metrics.started(workflow.spec, command.step.occurrence, this->options.calendarMs());
 }
 
--- a/src/workflows/controllercrashes.cpp
+++ b/src/workflows/controllercrashes.cpp
@@ -5,11 +5,11 @@
 #include <map>
 #include <vector>
 
-// Handling of targets that are gone with work on them.
+// Handling of targets that crashed or disconnected while they had work.
 
 namespace guavavalve::workflows {
 
-/// Records that the process of \a incarnation is gone. Must be called after the ends of the runs
+/// Records that the process of \a incarnation has ended. Must be called after the ends of the runs
 /// placed there have been queued.
 void Controller::recordCrash(IncarnationId incarnation, IncarnationEnd how)
 {
--- a/src/workflows/controllerstops.cpp
+++ b/src/workflows/controllerstops.cpp
@@ -74,10 +74,10 @@
                         continue;
                     const StepAddress address{id, k, static_cast<std::uint16_t>(i)};
                     const auto before = this->incompleteGangsSince.find(address);
-                    const Instant began =
+                    const Instant firstSeen =
                         before == this->incompleteGangsSince.end() ? now : before->second;
-                    since[address] = began;
-                    if (now > began + incompleteGangTimeout)
+                    since[address] = firstSeen;
+                    if (now > firstSeen + incompleteGangTimeout)
                         addPlaced(address, step, remaining[id]);
                 }
             }
--- a/src/workflows/controllertargets.cpp
+++ b/src/workflows/controllertargets.cpp
@@ -75,7 +75,7 @@
     };
     hooks.runAfter = this->options.runAfter;
     hooks.isCurrent = [this] { return this->isCurrent(); };
-    hooks.ownLag = [this] { return this->lag; };
+    hooks.loopLag = [this] { return this->lag; };
     auto session = std::make_shared<TargetSession>(incarnation, record.identity, this->term,
                                                    this->options.session, this->targets,
                                                    std::move(hooks), this->options.clock);
@@ -182,13 +182,13 @@
     const IncarnationId newest = this->machine.read(
         [&](const WorkflowStore &store) { return store.newestIncarnation(report.identity.name); });
     const auto known = this->incarnations.find(newest);
-    const std::int64_t born =
+    const std::int64_t knownStartedAtMs =
         known == this->incarnations.end() ? -1 : known->second.session->identity().startedAtMs;
-    if (born > report.identity.startedAtMs) {
+    if (knownStartedAtMs > report.identity.startedAtMs) {
         done(Nothing{}); // a delayed report of an earlier incarnation has no effect
         return;
     }
-    if (born == report.identity.startedAtMs) {
+    if (knownStartedAtMs == report.identity.startedAtMs) {
         if (report.sequence >= known->second.sequence) {
             known->second.sequence = report.sequence;
             known->second.session->recordHeartbeat(report.isReady, report.coldFor);
@@ -198,7 +198,7 @@
         done(Nothing{});
         return;
     }
-    if (born >= 0)
+    if (knownStartedAtMs >= 0)
         this->incarnationOver(newest, IncarnationEnd::Reborn);
     const std::string name = report.identity.name;
     this->enqueue(RegisterIncarnation{report.identity},
--- a/src/workflows/losscount.h
+++ b/src/workflows/losscount.h
@@ -8,10 +8,10 @@
 struct LossCount
 {
     std::uint16_t crashes = 0; ///< targets that crashed
-    std::uint16_t earlyCrashes = 0; ///< crashes soon after the target had begun the task
+    std::uint16_t earlyCrashes = 0; ///< crashes soon after the target had started the task
     /// Targets that have either crashed or lost their connection; not known yet.
     std::uint16_t openLosses = 0;
-    std::uint16_t earlyOpenLosses = 0; ///< open losses soon after the target had begun the task
+    std::uint16_t earlyOpenLosses = 0; ///< open losses soon after the target had started the task
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/workflows/reportfilter.cpp
+++ b/src/workflows/reportfilter.cpp
@@ -38,8 +38,8 @@
 
 /// Guards against the reports of all targets reaching a controller at once after a restart of all
 /// instances: they are forwarded one after the other within the interval. This applies only once to
-/// each target, because an instance that does not reach the controller must not go on answering for
-/// it.
+/// each target, because an instance that does not reach the controller must not keep answering on
+/// its behalf.
 bool ReportFilter::acknowledgeStored(const TargetReport &report, Instant now)
 {
     const auto spread = std::hash<std::string>()(report.identity.name)
--- a/src/workflows/reportfilter.h
+++ b/src/workflows/reportfilter.h
@@ -29,9 +29,9 @@
     bool isRepetition(const TargetReport &report, Instant now) const;
     /// Records that the controller has acknowledged \a report.
     void acknowledged(const TargetReport &report, Instant now);
-    /// Records that \a report matches the stored state. If its target was unknown here, the report
-    /// counts as acknowledged, one of the next repetitions is forwarded to the controller, and true
-    /// is returned.
+    /// Records that \a report matches the stored state. Returns true if its target was unknown
+    /// here: the report then counts as acknowledged, and one of the next repetitions is forwarded
+    /// to the controller.
     bool acknowledgeStored(const TargetReport &report, Instant now);
     /// Forgets a target that leaves or whose report was not accepted.
     void forget(const std::string &targetName);
--- a/src/workflows/runend.h
+++ b/src/workflows/runend.h
@@ -13,7 +13,7 @@
 /// How a run ended. The order is part of the log format: append new outcomes at the end.
 enum class RunOutcome : std::uint8_t {
     Succeeded,
-    Failed, ///< because of the task or of its target
+    Failed, ///< through a fault of the task or of its target
     Stopped, ///< stopped by order of the controller
     Lapsed, ///< the lease of its target expired
     Broken, ///< another member of its gang ended
@@ -21,7 +21,7 @@
     Lost, ///< its target's incarnation is over, or its lease expired without an answer
     NeverStarted, ///< the target can no longer start it
     Refused, ///< never started: the target refused it although it had the capacity
-    LostEarly, ///< lost soon after the target had begun it
+    LostEarly, ///< lost soon after the target had started it
 };
 
 inline constexpr EnumNames<RunOutcome, 10> runOutcomeNames{{
--- a/src/workflows/targetagents.h
+++ b/src/workflows/targetagents.h
@@ -17,7 +17,7 @@
 struct TargetAgentsOptions
 {
     InstanceId self; ///< also its messenger address, as for every instance
-    std::size_t targetsPerAgent = 1000; ///< that one instance has connections for
+    std::size_t targetsPerAgent = 1000; ///< number of targets that one instance has connections for
     /// Returns the other instances that may currently carry orders.
     std::function<std::vector<InstanceId>()> agents;
     /// Runs an action on the controller's loop; may be called from any thread.
--- a/src/workflows/targetlosstracker.h
+++ b/src/workflows/targetlosstracker.h
@@ -15,10 +15,10 @@
 /// Part of the replicated state: pure, and kept across changes of controller.
 ///
 /// Each target that is lost with a run counts for the run's task, first as an open loss and then,
-/// once its process is known to be gone, as a crash. A crash soon after the start is evidence
+/// once its process is known to have ended, as a crash. A crash soon after the start is evidence
 /// against the task; a crash in the middle of a run may have any cause and weighs less. A task that
 /// has crashed too many targets is given up, and a task whose open losses could make up that number
-/// is not started until they are resolved. If several tasks had just begun on a crashed target,
+/// is not started until they are resolved. If several tasks had just started on a crashed target,
 /// those with the most earlier crashes of this kind are blamed.
 class TargetLossTracker
 {
@@ -31,9 +31,10 @@
     /// A run of \a task was lost with an incarnation of its target. An incarnation counts once for
     /// each task.
     void recordLoss(IncarnationId incarnation, const TaskAddress &task, bool isEarly);
-    /// The process of \a incarnation is gone. Returns the tasks that are to be given up now.
+    /// The process of \a incarnation has crashed. Returns the tasks that are to be given up now.
     std::vector<TaskAddress> recordCrash(IncarnationId incarnation);
-    /// The process of \a incarnation goes on, or has ended as planned: its losses do not count.
+    /// The process of \a incarnation is still running, or has ended as planned; its losses do not
+    /// count.
     void discardLosses(IncarnationId incarnation);
 
     /// The task has succeeded, or has proved that targets can run it.
@@ -51,7 +52,7 @@
     /// False if the task would have to be given up should all its open losses turn out to be
     /// crashes.
     bool mayStart(const TaskAddress &task) const;
-    /// True if a target was lost soon after it had begun the task.
+    /// True if a target was lost soon after it had started the task.
     bool isSuspect(const TaskAddress &task) const;
     bool isEmpty() const { return this->counts.empty(); }
 
--- a/src/workflows/targetport.h
+++ b/src/workflows/targetport.h
@@ -27,9 +27,10 @@
     std::string ticket; ///< empty: the queue requires none
     std::int64_t leaseUntilMs = 0; ///< by the target's clock
     std::uint64_t term = 0; ///< fences out earlier controllers
-    /// Its queue's: waiting orders are sent lowest value first, after stops.
+    /// The priority of its queue: waiting orders are sent lowest value first, and stops before
+    /// them.
     std::uint32_t priority = 0;
-    /// If it is still waiting to be sent then, it is not sent at all.
+    /// The order is not sent at all if it is still waiting to be sent then.
     Instant leaveBy = Instant::max();
 
     /// Leaves out leaveBy, which is a time on this instance's clock.
--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 /// Number of consecutive polls without an answer after which no lease is renewed. If the path is
-/// cut in one direction only, polls that arrive would otherwise renew the lease indefinitely. Once
-/// the target answers again, the lease is renewed again.
+/// interrupted in one direction only, polls that arrive would otherwise renew the lease
+/// indefinitely. Once the target answers again, the lease is renewed again.
 constexpr unsigned maxUnansweredPolls = 1;
 constexpr std::int64_t perThousand = 1000;
 
@@ -111,12 +111,12 @@
 
 /// Guards against running a task again although its end was listed: a target answers its pending
 /// poll when it leaves.
-void TargetSession::leave(std::function<void()> gone)
+void TargetSession::leave(std::function<void()> done)
 {
     if (this->hasEnded || this->isLeaving)
         return;
     this->isLeaving = true;
-    this->onLeft = std::move(gone);
+    this->onLeft = std::move(done);
     this->updateUsable();
     if (this->isPolling)
         this->runLater(this->limits.finalAnswerTimeout, [this] { this->finishLeaving(); });
@@ -139,8 +139,8 @@
 void TargetSession::finishLeaving()
 {
     this->declareLost();
-    if (const auto gone = std::exchange(this->onLeft, nullptr))
-        gone();
+    if (const auto done = std::exchange(this->onLeft, nullptr))
+        done();
 }
 
 void TargetSession::tick()
@@ -163,13 +163,13 @@
     return !this->isOver() && this->hasRunList && !this->isFenced && this->reportsReady
         && this->failures == 0 && this->foreignRuns.empty() && now >= this->unreachableUntil
         && now
-        < this->answeredAt + this->limits.maxHoldWait + this->limits.orderTimeout + this->ownLag()
+        < this->answeredAt + this->limits.maxHoldWait + this->limits.orderTimeout + this->loopLag()
         && !this->hasUnansweredStart(now);
 }
 
-Microseconds TargetSession::ownLag() const
+Microseconds TargetSession::loopLag() const
 {
-    return this->hooks.ownLag ? this->hooks.ownLag() : Microseconds(0);
+    return this->hooks.loopLag ? this->hooks.loopLag() : Microseconds(0);
 }
 
 /// Guards against assigning work for 1.7 s to a target that was cut off, until the poll that it may
@@ -178,7 +178,7 @@
 {
     if (this->unansweredStarts == 0)
         return false;
-    const Instant since = now - this->limits.unansweredStartLimit - this->ownLag();
+    const Instant since = now - this->limits.unansweredStartLimit - this->loopLag();
     return std::any_of(this->runs.begin(), this->runs.end(), [&](const auto &run) {
         return run.second.phase == Phase::Sending && !run.second.isStopRequested
             && since > run.second.placedAt;
@@ -223,7 +223,7 @@
 /// Returns the end of a new lease by the target's own clock, or 0 if none may be granted, and
 /// updates the time by which every lease has certainly expired.
 ///
-/// Guards against starting a run elsewhere while it still goes on here: the target's clock may be
+/// Guards against starting a run elsewhere while it still runs here: the target's clock may be
 /// slow, and it was read before the answer arrived. A controller that has lost its followers, but
 /// not its targets, grants no more leases, because the next controller counts this one's leases
 /// from its own election.
--- a/src/workflows/targetsession.h
+++ b/src/workflows/targetsession.h
@@ -28,24 +28,24 @@
     Milliseconds leaseMargin{150};
     /// How long a target waits for a run to end before it answers a poll.
     Milliseconds maxHoldWait{1000};
-    /// For the answer to an order, in addition to the time that the target may wait.
+    /// Timeout of the answer to an order, in addition to the time that the target may wait.
     Milliseconds orderTimeout{700};
     /// A start that is not answered within this time makes its target unusable: one takes 1 to 5
     /// ms, and ten times that on a loaded or slow path.
     Milliseconds unansweredStartLimit{250};
     /// A start that is not answered within this time is given up; a stop then settles whether the
-    /// run began.
+    /// run started.
     Milliseconds startTimeout{2000};
     Milliseconds resendDelay{150}; ///< between two attempts to send an order
     Milliseconds stopLimit{900}; ///< from a stop until the end of its run is listed
     Milliseconds finalAnswerTimeout{300}; ///< for the last answer of a target that leaves
-    /// If a target falls silent within this time after it has begun a run, the run may have crashed
-    /// it. Long enough for a task to initialise.
+    /// If a target falls silent within this time after it has started a run, the run may have
+    /// crashed it. Long enough for a task to initialise.
     Milliseconds earlyLossWindow{500};
 };
 
 /// The state of one incarnation of a target as known to one controller in one term, and the orders
-/// that the controller has under way there. Runs on the controller's loop.
+/// that the controller has pending there. Runs on the controller's loop.
 ///
 /// A run counts as over when the target lists its end; when a list that was requested after the
 /// target had confirmed an order for the run contains neither the run nor its end; when the
@@ -71,7 +71,7 @@
         std::function<bool()> isCurrent;
         /// How late this controller's own loop runs: answers may have arrived that it has not read
         /// yet.
-        std::function<Microseconds()> ownLag;
+        std::function<Microseconds()> loopLag;
     };
 
     TargetSession(IncarnationId incarnation, TargetIdentity identity, std::uint64_t term,
@@ -106,8 +106,8 @@
     /// The incarnation is over: reports all its runs as lost and ends the session.
     void declareLost();
     /// The target leaves. Ends that it lists in the answer to a pending poll still count; all other
-    /// runs there are lost then. \a gone: called when everything has been reported.
-    void leave(std::function<void()> gone);
+    /// runs there are lost then. \a done: called when everything has been reported.
+    void leave(std::function<void()> done);
     /// Detects expired leases. Must be called frequently.
     void tick();
 
@@ -169,7 +169,7 @@
     std::int64_t grantLease();
     std::int64_t leaseForStart();
     bool hasUnansweredStart(Instant now) const;
-    Microseconds ownLag() const;
+    Microseconds loopLag() const;
     bool processReply(OrderReply reply);
     RunEnd over(const TaskAddress &task, Run &run, RunOutcome outcome, std::string checkpoint);
     void reportLost();
@@ -185,7 +185,7 @@
     Clock clock;
 
     std::map<TaskAddress, Run> runs;
-    /// Listed as running, but not placed by this controller.
+    /// Runs that are listed but that this controller did not place.
     std::map<TaskAddress, RunNumber> foreignRuns;
     std::uint64_t highestListedEnd = 0; ///< highest number of a listed end
     std::uint64_t highestStoredEnd = 0; ///< ends up to this number are stored
@@ -205,7 +205,7 @@
     std::size_t unansweredStarts = 0; ///< number of runs in phase Sending
     Instant unreachableUntil{}; ///< after a failed connection; no new work before this
     Instant trialUntil{};
-    Instant lastHeartbeatAt{}; ///< time of the last heartbeat
+    Instant lastHeartbeatAt{};
     Instant answeredAt{};
     std::int64_t clockMs = 0; ///< the target's clock at answeredAt
     std::int64_t leaseUntilMs = 0; ///< end of the last granted lease by the target's clock
--- a/src/workflows/targetstanding.h
+++ b/src/workflows/targetstanding.h
@@ -12,7 +12,7 @@
     bool hasRunList = false;
     bool isFenced = false; ///< it has accepted orders of a later controller
     unsigned failures = 0; ///< consecutive polls without an answer
-    /// That it lists but that this controller did not place; they are being stopped.
+    /// Runs that it lists but that this controller did not place; they are being stopped.
     std::size_t foreignRuns = 0;
     Milliseconds answerAge{}; ///< time since its last answer
 };
--- a/src/workflows/workflowstore.cpp
+++ b/src/workflows/workflowstore.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view formatMark = "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
 constexpr unsigned firstFormat = 1;
 constexpr unsigned formatWithEvacuations = 2;
-constexpr unsigned formatWithLosses = 3; ///< and with capacities that change
+constexpr unsigned formatWithLosses = 3; ///< and changes of capacity
 constexpr unsigned newestFormat = formatWithLosses;
 
 unsigned formatOf(std::string_view snapshot)
@@ -251,7 +251,7 @@
 /// A long-running task that ended is started again. The members of a gang succeed together: the
 /// first success that is reported counts for the whole run.
 ///
-/// Guards against a gang that stays incomplete for ever: a member whose target left just before the
+/// Guards against a gang that stays incomplete forever: a member whose target left just before the
 /// end counts as lost and waits, and would wait for members that never run again.
 void WorkflowStore::succeed(Workflow &workflow, const TaskAddress &address)
 {
--- a/test/workflows/controllertest.cpp
+++ b/test/workflows/controllertest.cpp
@@ -73,7 +73,7 @@
     "the task of a silent target is started elsewhere only after its lease has expired",
     "[controller]")
 {
-    // A target is cut off while its task goes on there. The work would be done twice if it were
+    // A target is cut off while its task continues there. The work would be done twice if it were
     // started elsewhere before the lease has expired by the target's own clock.
     this->submit(job, {StoreFixture::step(1)});
     this->runFor(Milliseconds(100));
--- a/test/workflows/stalecontrollertest.cpp
+++ b/test/workflows/stalecontrollertest.cpp
@@ -26,7 +26,7 @@
         InMemoryLog::propose(std::move(command),
                              [this, done = std::move(done)](Result<std::string> outcome) {
                                  if (this->isHolding)
-                                     this->held.emplace_back(done, std::move(outcome));
+                                     this->withheldOutcomes.emplace_back(done, std::move(outcome));
                                  else
                                      done(std::move(outcome));
                              });
@@ -34,12 +34,12 @@
     void release()
     {
         this->isHolding = false;
-        for (auto &[done, outcome] : std::exchange(this->held, {}))
+        for (auto &[done, outcome] : std::exchange(this->withheldOutcomes, {}))
             done(std::move(outcome));
     }
 
     bool isHolding = false;
-    std::vector<std::pair<Done<std::string>, Result<std::string>>> held;
+    std::vector<std::pair<Done<std::string>, Result<std::string>>> withheldOutcomes;
 };
 
 } // namespace
@@ -84,7 +84,7 @@
     fleet.announce(spec);
     controller.submit(spec, [&](const Result<CommandOutcome> &) { log.isHolding = true; });
     loop.runFor(Milliseconds(50));
-    REQUIRE(log.held.size() == 1); // the placement
+    REQUIRE(log.withheldOutcomes.size() == 1); // the placement
     const TaskAddress task{{StoreFixture::job, 0, 0}, 0};
     const EndRuns later{{{task, 1, RunOutcome::Succeeded, "", 1}}, loop.nowMs()};
     machine.apply(99, encode(CommandBatch{later}));
--- a/test/workflows/storefixture.h
+++ b/test/workflows/storefixture.h
@@ -48,11 +48,11 @@
         return this->apply(AcceptWorkflow{spec});
     }
 
-    CommandOutcome registerIncarnation(const std::string &name, std::int64_t born)
+    CommandOutcome registerIncarnation(const std::string &name, std::int64_t processStartMs)
     {
         TargetIdentity identity;
         identity.name = name;
-        identity.startedAtMs = born;
+        identity.startedAtMs = processStartMs;
         identity.service = "s";
         identity.rack = "r0-1";
         identity.capacity[ResourceKind::MilliCores] = 4000;
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -202,7 +202,7 @@
     CHECK(started.error().code == ErrorCode::LimitExceeded); // it says nothing about the target
 }
 
-TEST_CASE("no task runs twice at a time while agents are frozen, killed and woken",
+TEST_CASE("no task has two runs at once while agents are frozen, killed and resumed",
           "[random][agents]")
 {
     runSeeds(defaultSeeds, runWithAgents);
--- a/test/workflows/targetlosstrackertest.cpp
+++ b/test/workflows/targetlosstrackertest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a task is given up once enough targets have crashed soon after they began it",
+TEST_CASE("a task is given up once enough targets have crashed soon after they started it",
           "[losses]")
 {
     TargetLossTracker losses;
@@ -49,7 +49,7 @@
     CHECK(losses.recordCrash(incarnation(9)) == std::vector<TaskAddress>{task});
 }
 
-TEST_CASE("losses with an incarnation that goes on do not count", "[losses]")
+TEST_CASE("losses with an incarnation that keeps running do not count", "[losses]")
 {
     TargetLossTracker losses;
     losses.recordLoss(incarnation(1), task, true);
@@ -67,7 +67,7 @@
     losses.recordLoss(incarnation(1), task, true);
     CHECK(losses.count(task).openLosses == 1);
     CHECK(losses.isSuspect(task));
-    SECTION("the incarnation goes on")
+    SECTION("the incarnation keeps running")
     {
         losses.discardLosses(incarnation(1));
         CHECK(losses.isEmpty());
@@ -92,7 +92,7 @@
     CHECK(losses.mayStart(task));
 }
 
-TEST_CASE("of the tasks that had just begun, the one with the most earlier crashes is blamed",
+TEST_CASE("of the tasks that had just started, the one with the most earlier crashes is blamed",
           "[losses]")
 {
     const TaskAddress neighbour{{static_cast<WorkflowId>(8), 0, 0}, 0};
--- a/test/workflows/targetsessiontest.cpp
+++ b/test/workflows/targetsessiontest.cpp
@@ -92,7 +92,7 @@
             this->loop.runAfter(delay, std::move(action));
         };
         hooks.isCurrent = [this] { return this->isCurrent; };
-        hooks.ownLag = [this] { return this->ownLag; };
+        hooks.loopLag = [this] { return this->loopLag; };
         TargetIdentity identity;
         identity.name = "t1";
         this->session = std::make_shared<TargetSession>(static_cast<IncarnationId>(1), identity, 3,
@@ -125,7 +125,7 @@
     RecordingPort port{this->loop};
     SessionLimits limits;
     bool isCurrent = true;
-    Microseconds ownLag{0};
+    Microseconds loopLag{0};
     std::vector<RunEnd> over;
     Instant overAt{};
     std::shared_ptr<TargetSession> session;
@@ -137,8 +137,8 @@
                  "[session]")
 {
     // A controller is cut off from the other replicas but not from a target. The next controller
-    // counts this one's leases from its own election: a lease granted after that would let a run go
-    // on here while it is started elsewhere.
+    // counts this one's leases from its own election: a lease granted after that would let a run
+    // continue here while it is started elsewhere.
     CHECK(this->port.lastLease > 0);
     this->isCurrent = false;
     this->tickFor(Milliseconds(500));
@@ -175,8 +175,8 @@
 TEST_CASE_METHOD(SessionFixture, "a lease expires only by the slowest clock that a target may have",
                  "[session]")
 {
-    // A target falls silent. Its clock may be 2% slow, so its runs may go on for that much longer
-    // than the last granted lease.
+    // A target falls silent. Its clock may be 2% slow, so its runs may continue for that much
+    // longer than the last granted lease.
     this->startTask();
     this->tickFor(Milliseconds(1000));
     this->port.isSilent = true;
@@ -209,7 +209,7 @@
     REQUIRE(this->over.size() == 8);
     const Milliseconds drift = this->limits.lease * this->limits.maxClockDriftPerThousand / 1000;
     CHECK(this->overAt <= silentAt + this->limits.lease + drift + this->limits.leaseMargin
-              + this->limits.resendDelay + Milliseconds(100)); // the last answer\'s age, a tick
+              + this->limits.resendDelay + Milliseconds(100)); // the last answer's age, a tick
 }
 
 TEST_CASE_METHOD(SessionFixture, "a target that leaves a start unanswered receives no new work",
@@ -292,7 +292,7 @@
                  "the limit for unanswered starts is extended by the lag of the controller's loop",
                  "[session]")
 {
-    this->ownLag = Milliseconds(600);
+    this->loopLag = Milliseconds(600);
     this->port.isSilent = true;
     this->startTask();
     this->tickFor(this->limits.unansweredStartLimit + Milliseconds(20));
--- a/test/workflows/workflowstoretest.cpp
+++ b/test/workflows/workflowstoretest.cpp
@@ -99,7 +99,7 @@
 {
     // A gang finishes while one of its targets leaves: that member's end is never received and the
     // member counts as lost; then another member lists the gang's success. If the gang is left with
-    // some members done and one waiting, it is never started again and its caller waits for ever.
+    // some members done and one waiting, it is never started again and its caller waits forever.
     StoreFixture f;
     f.accept({f.gang(3), f.step(1, {0})});
     f.place(0, 1, {1, 2, 3});
@@ -239,7 +239,7 @@
     CHECK(fixture.accept({StoreFixture::step(2)}) == CommandOutcome::Joined);
 }
 
-// A cancelled workflow discards nothing while its runs may go on, because they still have to be
+// A cancelled workflow discards nothing while its runs may continue, because they still have to be
 // stopped.
 TEST_CASE("a cancelled workflow keeps its tasks until the last run is over", "[book]")
 {
