--- a/src/controller/configurationrequests.h
+++ b/src/controller/configurationrequests.h
@@ -200,7 +200,7 @@
     }
 };
 
-struct InForceRequest
+struct ConfigurationInForceRequest
 {
     using Reply = ConfigurationInForce;
 
--- a/src/controller/controllerlink.cpp
+++ b/src/controller/controllerlink.cpp
@@ -76,15 +76,15 @@
             return;
         attempt = ++call->attempts;
         call->address = address;
-        call->overdueAt = now + this->limits.doubtAfter;
+        call->overdueAt = now + this->limits.unresponsiveAfter;
     }
-    const Instant limit = std::min(call->deadline, now + this->limits.tryLimit);
+    const Instant limit = std::min(call->deadline, now + this->limits.attemptTimeout);
     this->messenger.call(
         address, call->method, call->payload, limit,
         [self = this->shared_from_this(), call, address, attempt](Result<std::string> reply) {
             self->answered(call, address, attempt, std::move(reply));
         });
-    if (this->limits.doubtAfter.count() > 0)
+    if (this->limits.unresponsiveAfter.count() > 0)
         this->watch(call, address, attempt);
 }
 
@@ -118,7 +118,7 @@
     if (mayRepeat) {
         const bool redirected = reply.error().code == ErrorCode::NotLeader;
         this->suspect(address, redirected ? reply.error().message : std::string());
-        this->delay(this->limits.pauseBetweenTries,
+        this->delay(this->limits.retryDelay,
                     [self = this->shared_from_this(), call] { self->attempt(call); });
         return;
     }
@@ -137,15 +137,16 @@
             return; // the answer was faster
         this->underWay.insert(call);
     }
-    this->delay(this->limits.doubtAfter, [self = this->shared_from_this(), call, address, attempt] {
-        {
-            const std::lock_guard lock(self->mutex);
-            const bool isOpen = !call->isSettled && call->attempts == attempt;
-            if (!isOpen || std::exchange(self->isAsking, true))
-                return;
-        }
-        self->askOthers(address);
-    });
+    this->delay(this->limits.unresponsiveAfter,
+                [self = this->shared_from_this(), call, address, attempt] {
+                    {
+                        const std::lock_guard lock(self->mutex);
+                        const bool isOpen = !call->isSettled && call->attempts == attempt;
+                        if (!isOpen || std::exchange(self->isAsking, true))
+                            return;
+                    }
+                    self->askOthers(address);
+                });
 }
 
 /// A call to \a address has been without an answer for too long.
@@ -164,7 +165,7 @@
         const std::lock_guard lock(this->mutex);
         others = this->replicas;
     }
-    const Instant limit = this->clock() + this->limits.doubtAfter;
+    const Instant limit = this->clock() + this->limits.unresponsiveAfter;
     for (const std::string &other : others) {
         if (other == doubted)
             continue;
@@ -172,7 +173,7 @@
                              [self = this->shared_from_this(), doubted](
                                  const Result<std::string> &leads) { self->told(doubted, leads); });
     }
-    this->delay(this->limits.doubtAfter, [self = this->shared_from_this(), doubted] {
+    this->delay(this->limits.unresponsiveAfter, [self = this->shared_from_this(), doubted] {
         {
             const std::lock_guard lock(self->mutex);
             self->isAsking = self->isDoubted(doubted);
@@ -206,7 +207,7 @@
         this->attempt(call);
 }
 
-void ControllerLink::learn(std::vector<std::string> known)
+void ControllerLink::setReplicas(std::vector<std::string> known)
 {
     const std::lock_guard lock(this->mutex);
     if (!known.empty())
--- a/src/controller/controllerlink.h
+++ b/src/controller/controllerlink.h
@@ -28,10 +28,10 @@
     {
         /// One try's share of the deadline: long enough for an election to end meanwhile, short
         /// enough that a controller that went silent is left in time.
-        Milliseconds tryLimit{1500};
-        Milliseconds pauseBetweenTries{50};
+        Milliseconds attemptTimeout{1500};
+        Milliseconds retryDelay{50};
         /// Without an answer for this long the other replicas are asked who leads; zero: never.
-        Milliseconds doubtAfter{0};
+        Milliseconds unresponsiveAfter{0};
     };
 
     /// \a replicas: addresses ("ip:port") of the replicas' messengers.
@@ -41,7 +41,7 @@
                    Limits limits, Clock clock);
 
     /// Puts \a replicas in place of the addresses known before, where the group's members change.
-    void learn(std::vector<std::string> replicas);
+    void setReplicas(std::vector<std::string> replicas);
     /// Where the controller was last found; empty: not known.
     std::string controllerAddress() const;
 
--- a/src/controller/instancemetrics.cpp
+++ b/src/controller/instancemetrics.cpp
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-void showReplica(const ReplicaStatus &status, Metrics &into)
+void exportReplicaMetrics(const ReplicaStatus &status, Metrics &into)
 {
     into.set(Metric::ReplicaTerm, static_cast<double>(status.term));
     into.set(Metric::ReplicaCommittedIndex, static_cast<double>(status.committed));
@@ -18,7 +18,7 @@
         into.set(Metric::ReplicaRoleInfo, status.role == role ? 1.0 : 0.0, {std::string(name)});
 }
 
-void showMessenger(const MessengerCounters &counters, Metrics &into)
+void exportMessengerMetrics(const MessengerCounters &counters, Metrics &into)
 {
     into.countUpTo(Metric::ControlSentBytes, static_cast<double>(counters.bytesSent));
     into.countUpTo(Metric::ControlReceivedBytes, static_cast<double>(counters.bytesReceived));
@@ -27,7 +27,7 @@
                                        + counters.oversizedFrames + counters.malformedFrames));
 }
 
-void showLog(Metrics &into)
+void exportLogMetrics(Metrics &into)
 {
     into.countUpTo(Metric::LogLinesDroppedTotal, static_cast<double>(Logging::droppedLines()));
 }
--- a/src/controller/operatorpermissions.cpp
+++ b/src/controller/operatorpermissions.cpp
@@ -31,7 +31,7 @@
     return "operators";
 }
 
-Result<void> checkPermission(const OperatorIdentity &identity, const OperatorQuestion &question,
+Result<void> checkPermission(const OperatorIdentity &identity, const OperatorRequestBody &question,
                              const std::string &sectionOwner)
 {
     if (identity.isOperator)
--- a/src/controller/operatorrequest.h
+++ b/src/controller/operatorrequest.h
@@ -15,12 +15,13 @@
 namespace guavavalve {
 
 /// Everything that an operator may ask of the controller. The order is part of the wire format.
-using OperatorQuestion =
+using OperatorRequestBody =
     std::variant<ShowConfigurationRequest, CheckConfigurationRequest, WriteSectionRequest,
-                 SectionHistoryRequest, InForceRequest, GrantKeyRequest, ListKeysRequest,
-                 WithdrawKeyRequest, ListTargetsRequest, DrainTargetRequest, ReplicaStatusRequest,
-                 AddReplicaRequest, RemoveReplicaRequest, ListJobsRequest, ExplainJobRequest,
-                 ListTeamsRequest, CellStatusRequest, ListDomainsRequest, EvacuateDomainRequest>;
+                 SectionHistoryRequest, ConfigurationInForceRequest, GrantKeyRequest,
+                 ListKeysRequest, WithdrawKeyRequest, ListTargetsRequest, DrainTargetRequest,
+                 ReplicaStatusRequest, AddReplicaRequest, RemoveReplicaRequest, ListJobsRequest,
+                 ExplainJobRequest, ListTeamsRequest, CellStatusRequest, ListDomainsRequest,
+                 EvacuateDomainRequest>;
 
 /// The answer: always the question's Reply.
 using OperatorReply = std::variant<ConfigurationDocument, ConfigurationCheck, SectionWritten,
@@ -32,7 +33,7 @@
 struct OperatorRequest
 {
     OperatorIdentity identity;
-    OperatorQuestion question;
+    OperatorRequestBody question;
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/operatorservice.cpp
+++ b/src/controller/operatorservice.cpp
@@ -104,7 +104,7 @@
 }
 
 Result<void> OperatorService::permit(const OperatorIdentity &identity,
-                                     const OperatorQuestion &question) const
+                                     const OperatorRequestBody &question) const
 {
     std::string owner;
     if (const auto *write = std::get_if<WriteSectionRequest>(&question)) {
@@ -219,7 +219,8 @@
     return result;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const InForceRequest &, const Reply &reply)
+void OperatorService::answer(const OperatorIdentity &, const ConfigurationInForceRequest &,
+                             const Reply &reply)
 {
     reply(OperatorReply(this->inForce()));
 }
--- a/src/controller/operatorservice.h
+++ b/src/controller/operatorservice.h
@@ -27,13 +27,14 @@
     using Reply = Done<OperatorReply>;
 
     Result<OperatorIdentity> verify(const OperatorIdentity &claimed) const;
-    Result<void> permit(const OperatorIdentity &identity, const OperatorQuestion &question) const;
+    Result<void> permit(const OperatorIdentity &identity,
+                        const OperatorRequestBody &question) const;
 
     void answer(const OperatorIdentity &, const ShowConfigurationRequest &, const Reply &);
     void answer(const OperatorIdentity &, const CheckConfigurationRequest &, const Reply &);
     void answer(const OperatorIdentity &, const WriteSectionRequest &, const Reply &);
     void answer(const OperatorIdentity &, const SectionHistoryRequest &, const Reply &);
-    void answer(const OperatorIdentity &, const InForceRequest &, const Reply &);
+    void answer(const OperatorIdentity &, const ConfigurationInForceRequest &, const Reply &);
     void answer(const OperatorIdentity &, const GrantKeyRequest &, const Reply &);
     void answer(const OperatorIdentity &, const ListKeysRequest &, const Reply &);
     void answer(const OperatorIdentity &, const WithdrawKeyRequest &, const Reply &);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -240,8 +240,8 @@
     into.set(Metric::ConfigurationVersion, static_cast<double>(this->follower->version()));
     into.set(Metric::Ready, this->readiness.isReady() ? 1.0 : 0.0);
     into.set(Metric::RequestsOpen, static_cast<double>(this->server.inFlight()));
-    showLog(into);
-    showMessenger(this->messenger.counters(), into);
+    exportLogMetrics(into);
+    exportMessengerMetrics(this->messenger.counters(), into);
     const CallerCounters callersSeen = this->callers->counters();
     const std::pair<const char *, std::size_t> outcomes[] = {
         {"accepted", callersSeen.accepted}, {"joined", callersSeen.joined},
@@ -255,7 +255,7 @@
 
 void Daemon::refreshReplicaMetrics(Metrics &into)
 {
-    showReplica(this->replica->log().status(), into);
+    exportReplicaMetrics(this->replica->log().status(), into);
     const std::lock_guard<std::mutex> lock(this->controllerMetricsMutex);
     this->controllerMetrics.refresh(*this->replica, into);
 }
--- a/src/operators/operatorroutes.cpp
+++ b/src/operators/operatorroutes.cpp
@@ -37,7 +37,7 @@
         reply(errorResponse(identity.error()));
         return;
     }
-    Result<OperatorQuestion> question = route.parse(request);
+    Result<OperatorRequestBody> question = route.parse(request);
     if (!question) {
         reply(errorResponse(question.error()));
         return;
--- a/src/operators/questionparsing.cpp
+++ b/src/operators/questionparsing.cpp
@@ -20,28 +20,28 @@
 }
 
 template<typename Question>
-Result<OperatorQuestion> parsePlain(const HttpRequest &)
+Result<OperatorRequestBody> parsePlain(const HttpRequest &)
 {
-    return OperatorQuestion(Question());
+    return OperatorRequestBody(Question());
 }
 
-Result<OperatorQuestion> parseShow(const HttpRequest &request)
+Result<OperatorRequestBody> parseShow(const HttpRequest &request)
 {
-    return OperatorQuestion(ShowConfigurationRequest{request.parameter("section")});
+    return OperatorRequestBody(ShowConfigurationRequest{request.parameter("section")});
 }
 
-Result<OperatorQuestion> parseCheck(const HttpRequest &request)
+Result<OperatorRequestBody> parseCheck(const HttpRequest &request)
 {
     BodyFields body(request);
     CheckConfigurationRequest question;
     for (BodyFields &fields : body.list("drafts"))
         question.drafts.push_back({fields.text("name"), fields.text("content")});
-    return body.outcome<OperatorQuestion>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(question));
 }
 
 /// The body is the section as its owner wrote it. It is handed on untouched: reading it here and
 /// writing it anew would hide a doubled field from the check.
-Result<OperatorQuestion> parseWrite(const HttpRequest &request)
+Result<OperatorRequestBody> parseWrite(const HttpRequest &request)
 {
     if (request.path.size() <= sectionsPath.size())
         return invalid("the path names no section");
@@ -55,16 +55,16 @@
     question.draft.content = request.body;
     question.baseVersion = baseVersion;
     question.requestId = requestId;
-    return OperatorQuestion(std::move(question));
+    return OperatorRequestBody(std::move(question));
 }
 
-Result<OperatorQuestion> parseHistory(const HttpRequest &request)
+Result<OperatorRequestBody> parseHistory(const HttpRequest &request)
 {
     BOOST_OUTCOME_TRY(section, requiredParameter(request, "section"));
-    return OperatorQuestion(SectionHistoryRequest{section});
+    return OperatorRequestBody(SectionHistoryRequest{section});
 }
 
-Result<OperatorQuestion> parseGrant(const HttpRequest &request)
+Result<OperatorRequestBody> parseGrant(const HttpRequest &request)
 {
     BodyFields body(request);
     GrantKeyRequest question;
@@ -77,32 +77,32 @@
         body.refuse("role is \"" + role + "\"; allowed: team, operator");
     if (!question.isOperator && question.team.empty())
         body.refuse("team is missing: name the team that the key is for");
-    return body.outcome<OperatorQuestion>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(question));
 }
 
-Result<OperatorQuestion> parseWithdraw(const HttpRequest &request)
+Result<OperatorRequestBody> parseWithdraw(const HttpRequest &request)
 {
     BodyFields body(request);
     WithdrawKeyRequest question{body.text("keyId"), body.text("requestId")};
-    return body.outcome<OperatorQuestion>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(question));
 }
 
-Result<OperatorQuestion> parseDrain(const HttpRequest &request)
+Result<OperatorRequestBody> parseDrain(const HttpRequest &request)
 {
     BodyFields body(request);
     DrainTargetRequest question;
     question.target = body.text("target");
     question.drain = body.boolean("drain", true);
-    return body.outcome<OperatorQuestion>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(question));
 }
 
-Result<OperatorQuestion> parseEvacuate(const HttpRequest &request)
+Result<OperatorRequestBody> parseEvacuate(const HttpRequest &request)
 {
     BodyFields body(request);
     EvacuateDomainRequest question;
     question.failureDomain = body.text("failureDomain");
     question.evacuate = body.boolean("evacuate", true);
-    return body.outcome<OperatorQuestion>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(question));
 }
 
 ReplicaMember memberOf(BodyFields &fields)
@@ -114,19 +114,19 @@
     return member;
 }
 
-Result<OperatorQuestion> parseAddReplica(const HttpRequest &request)
+Result<OperatorRequestBody> parseAddReplica(const HttpRequest &request)
 {
     BodyFields body(request);
-    return body.outcome<OperatorQuestion>(AddReplicaRequest{memberOf(body)});
+    return body.outcome<OperatorRequestBody>(AddReplicaRequest{memberOf(body)});
 }
 
-Result<OperatorQuestion> parseRemoveReplica(const HttpRequest &request)
+Result<OperatorRequestBody> parseRemoveReplica(const HttpRequest &request)
 {
     BodyFields body(request);
-    return body.outcome<OperatorQuestion>(RemoveReplicaRequest{body.text("instance")});
+    return body.outcome<OperatorRequestBody>(RemoveReplicaRequest{body.text("instance")});
 }
 
-Result<OperatorQuestion> parseListJobs(const HttpRequest &request)
+Result<OperatorRequestBody> parseListJobs(const HttpRequest &request)
 {
     ListJobsRequest question;
     BOOST_OUTCOME_TRY(atMost, numberParameter(request, "limit", question.atMost));
@@ -134,15 +134,15 @@
     question.team = request.parameter("team");
     question.unfinishedOnly = request.parameter("unfinished") == "true";
     question.atMost = static_cast<std::uint32_t>(std::min(atMost, most));
-    return OperatorQuestion(std::move(question));
+    return OperatorRequestBody(std::move(question));
 }
 
-Result<OperatorQuestion> parseExplain(const HttpRequest &request)
+Result<OperatorRequestBody> parseExplain(const HttpRequest &request)
 {
     BOOST_OUTCOME_TRY(job, numberParameter(request, "job", 0));
     if (job == 0)
         return invalid("query parameter job is missing: give the job's number");
-    return OperatorQuestion(ExplainJobRequest{static_cast<JobId>(job)});
+    return OperatorRequestBody(ExplainJobRequest{static_cast<JobId>(job)});
 }
 
 } // namespace
@@ -154,7 +154,7 @@
         {"POST", "/v1/operators/configuration/check", parseCheck},
         {"PUT", sectionsPath, parseWrite},
         {"GET", "/v1/operators/configuration/history", parseHistory},
-        {"GET", "/v1/operators/configuration/in-force", parsePlain<InForceRequest>},
+        {"GET", "/v1/operators/configuration/in-force", parsePlain<ConfigurationInForceRequest>},
         {"GET", "/v1/operators/keys", parsePlain<ListKeysRequest>},
         {"POST", "/v1/operators/keys", parseGrant},
         {"POST", "/v1/operators/keys/withdraw", parseWithdraw},
--- a/src/operators/questionparsing.h
+++ b/src/operators/questionparsing.h
@@ -16,7 +16,7 @@
 {
     std::string_view method;
     std::string_view path;
-    std::function<Result<OperatorQuestion>(const HttpRequest &)> parse;
+    std::function<Result<OperatorRequestBody>(const HttpRequest &)> parse;
 };
 
 /// Every question but that of forming the group.
--- a/test/operators/operatorservicetest.cpp
+++ b/test/operators/operatorservicetest.cpp
@@ -123,9 +123,9 @@
     OperatorBench bench;
     const OperatorIdentity boss = bench.makeOperator();
     bench.instances = {{"e1", 1, true}, {"e2", 0, true}};
-    CHECK_FALSE(bench.ask(boss, InForceRequest()).value().everywhere);
+    CHECK_FALSE(bench.ask(boss, ConfigurationInForceRequest()).value().everywhere);
     bench.instances[1].leased = false;
-    CHECK(bench.ask(boss, InForceRequest()).value().everywhere);
+    CHECK(bench.ask(boss, ConfigurationInForceRequest()).value().everywhere);
 }
 
 TEST_CASE("A drained target takes no work and is shown as draining")
