--- a/src/replicas/raftcore.cpp
+++ b/src/replicas/raftcore.cpp
@@ -133,8 +133,8 @@
         this->onAppendReply(message, *append);
     if (const auto *heartbeat = std::get_if<HeartbeatReply>(&message.body))
         this->onHeartbeatReply(message, *heartbeat);
-    if (const auto *piece = std::get_if<SnapshotReply>(&message.body))
-        this->onSnapshotReply(message, *piece);
+    if (const auto *chunk = std::get_if<SnapshotReply>(&message.body))
+        this->onSnapshotReply(message, *chunk);
 }
 
 void RaftCore::fromLeader(const RaftMessage &message, std::uint64_t token)
@@ -162,8 +162,8 @@
         this->onAppendRequest(message, *append, token);
     if (const auto *heartbeat = std::get_if<HeartbeatRequest>(&message.body))
         this->onHeartbeatRequest(message, *heartbeat, token);
-    if (const auto *piece = std::get_if<SnapshotRequest>(&message.body))
-        this->onSnapshotRequest(message, *piece, token);
+    if (const auto *chunk = std::get_if<SnapshotRequest>(&message.body))
+        this->onSnapshotRequest(message, *chunk, token);
 }
 
 void RaftCore::persisted()
--- a/src/replicas/raftcore.h
+++ b/src/replicas/raftcore.h
@@ -71,9 +71,9 @@
     std::uint64_t term() const { return this->hard.term; }
     ReplicaId leader() const { return this->currentLeader; }
     LogIndex committed() const { return this->commit; }
-    LogIndex handedOut() const { return this->delivered; }
+    LogIndex lastDelivered() const { return this->delivered; }
     /// The leader's own first entry of its term; zero if this replica does not lead.
-    LogIndex firstOfTerm() const { return this->noOpIndex; }
+    LogIndex firstIndexOfTerm() const { return this->noOpIndex; }
     const RaftLog &entries() const { return this->log; }
     const MemberList &members() const { return this->history.back().list; }
     /// Members by the last committed list.
@@ -83,7 +83,7 @@
     const std::map<ReplicaId, Progress> &followers() const { return this->progress; }
     /// As a leader that may change members now: a voter that has not answered for \a goneAfter
     /// and that no learner is to replace yet.
-    std::optional<MemberRecord> goneVoter(Milliseconds goneAfter) const;
+    std::optional<MemberRecord> findUnresponsiveVoter(Milliseconds goneAfter) const;
     bool isTransferring() const { return this->transferTarget != ReplicaId::None; }
     bool isSendingSnapshot() const;
     /// No other replica can lead before this instant; the epoch if that is not known.
--- a/src/replicas/raftcoreoptions.h
+++ b/src/replicas/raftcoreoptions.h
@@ -20,7 +20,7 @@
     Milliseconds electionMax{600};
     std::size_t maxBatchBytes = 1U << 20U;
     std::size_t maxInFlightBytes = 8U << 20U;
-    std::size_t snapshotPieceBytes = 256U << 10U;
+    std::size_t snapshotChunkBytes = 256U << 10U;
     std::size_t maxSnapshotBytes = 512U << 20U;
     std::size_t keptEntries = 2000;
     std::size_t keptBytes = 8U << 20U;
--- a/src/replicas/raftdriver.cpp
+++ b/src/replicas/raftdriver.cpp
@@ -33,7 +33,7 @@
     core.electionMax = options.electionMax;
     core.maxBatchBytes = options.maxBatchBytes;
     core.maxInFlightBytes = options.maxInFlightBytes;
-    core.snapshotPieceBytes = options.snapshotPieceBytes;
+    core.snapshotChunkBytes = options.snapshotChunkBytes;
     core.maxSnapshotBytes = options.maxSnapshotBytes;
     core.keptEntries = options.keptEntries;
     core.keptBytes = options.keptBytes;
--- a/src/replicas/raftdrivermembers.cpp
+++ b/src/replicas/raftdrivermembers.cpp
@@ -292,7 +292,7 @@
     if (!isConfigured || this->ledTerm == 0 || now < this->nextReplacement)
         return;
     this->nextReplacement = now + 2 * identifyLimit;
-    const auto gone = this->core->goneVoter(this->options.goneAfter);
+    const auto gone = this->core->findUnresponsiveVoter(this->options.goneAfter);
     if (!gone)
         return;
     std::vector<ReplicaMember> candidates;
--- a/src/replicas/raftdriversend.cpp
+++ b/src/replicas/raftdriversend.cpp
@@ -135,14 +135,14 @@
 void RaftDriver::sendRequest(OutgoingMessage outgoing)
 {
     const ReplicaId to = outgoing.message.to;
-    if (auto *piece = std::get_if<SnapshotRequest>(&outgoing.message.body)) {
+    if (auto *chunk = std::get_if<SnapshotRequest>(&outgoing.message.body)) {
         auto bytes =
-            this->storage->readSnapshot(piece->meta.index, piece->offset, outgoing.pieceBytes);
+            this->storage->readSnapshot(chunk->meta.index, chunk->offset, outgoing.pieceBytes);
         if (!bytes) {
             this->core->unreachable(to, this->options.clock());
             return;
         }
-        piece->piece = std::move(bytes).value();
+        chunk->chunk = std::move(bytes).value();
     }
     const bool isFlowControlled = std::holds_alternative<AppendRequest>(outgoing.message.body)
         || std::holds_alternative<SnapshotRequest>(outgoing.message.body);
--- a/src/replicas/raftdriverstate.cpp
+++ b/src/replicas/raftdriverstate.cpp
@@ -65,7 +65,7 @@
             this->applier.push(Applier::Leadership{false, std::exchange(this->announcedTerm, 0)});
     }
     const bool isCurrent =
-        this->ledTerm != 0 && this->core->handedOut() >= this->core->firstOfTerm();
+        this->ledTerm != 0 && this->core->lastDelivered() >= this->core->firstIndexOfTerm();
     if (isCurrent && this->announcedTerm == 0) {
         this->announcedTerm = this->ledTerm;
         this->applier.push(Applier::Leadership{true, this->ledTerm});
@@ -95,7 +95,7 @@
     }
     // Reads under the lease are current only once this term's first entry has been applied.
     const bool isCurrent =
-        this->ledTerm != 0 && this->applier.applied() >= this->core->firstOfTerm();
+        this->ledTerm != 0 && this->applier.applied() >= this->core->firstIndexOfTerm();
     this->leaseUntil = isCurrent ? this->core->leaseUntil().time_since_epoch().count() : 0;
     const std::lock_guard lock(this->mutex);
     this->published = std::move(status);
@@ -135,7 +135,7 @@
     this->bytesSinceSnapshot = 0;
     // The applier will have applied exactly what has been handed out by now.
     SnapshotMeta meta;
-    meta.index = this->core->handedOut();
+    meta.index = this->core->lastDelivered();
     meta.term = this->core->entries().termAt(meta.index).value_or(0);
     meta.members = encode(this->core->membersAt(meta.index));
     this->applier.push(Applier::TakeSnapshot{
--- a/src/replicas/raftfollower.cpp
+++ b/src/replicas/raftfollower.cpp
@@ -98,10 +98,10 @@
         this->incoming.clear();
     }
     const bool fits = request.meta.size <= this->options.maxSnapshotBytes
-        && request.piece.size() <= request.meta.size - this->incoming.size();
+        && request.chunk.size() <= request.meta.size - this->incoming.size();
     if (request.offset != this->incoming.size() || !fits)
         return false;
-    this->incoming += request.piece;
+    this->incoming += request.chunk;
     if (this->incoming.size() < request.meta.size)
         return false;
     if (checksumOf(this->incoming) == request.meta.checksum)
--- a/src/replicas/raftleader.cpp
+++ b/src/replicas/raftleader.cpp
@@ -125,7 +125,7 @@
     request.offset = peer.snapshotOffset;
     request.sentAt = this->now.time_since_epoch().count();
     const std::uint64_t left = peer.snapshot.size - peer.snapshotOffset;
-    const auto bytes = std::min<std::uint64_t>(left, this->options.snapshotPieceBytes);
+    const auto bytes = std::min<std::uint64_t>(left, this->options.snapshotChunkBytes);
     peer.awaiting = true;
     peer.stalledAt = this->now + 2 * this->options.electionMax;
     this->sendTo(member, std::move(request), true, static_cast<std::size_t>(bytes));
--- a/src/replicas/raftmembership.cpp
+++ b/src/replicas/raftmembership.cpp
@@ -136,7 +136,7 @@
     return peer != this->progress.end() && this->now <= peer->second.answeredAt + within;
 }
 
-std::optional<MemberRecord> RaftCore::goneVoter(Milliseconds goneAfter) const
+std::optional<MemberRecord> RaftCore::findUnresponsiveVoter(Milliseconds goneAfter) const
 {
     if (!this->mayChangeMembers() || this->now < this->leadsSince + goneAfter)
         return std::nullopt;
--- a/src/replicas/raftoptions.h
+++ b/src/replicas/raftoptions.h
@@ -34,7 +34,7 @@
     std::size_t maxInFlightBytes = 8U << 20U; ///< sent to one follower and not yet answered
     std::size_t maxQueuedProposals = 16384; ///< proposed and not yet applied
     std::size_t maxQueuedBytes = 32U << 20U; ///< proposed and not yet applied
-    std::size_t snapshotPieceBytes = 256U << 10U;
+    std::size_t snapshotChunkBytes = 256U << 10U;
     std::size_t maxSnapshotBytes = 512U << 20U;
     /// A snapshot is taken once the log holds this much after the last one.
     std::size_t snapshotAfterEntries = 20000;
--- a/src/replicas/snapshotrequest.h
+++ b/src/replicas/snapshotrequest.h
@@ -13,12 +13,12 @@
     SnapshotMeta meta;
     std::uint64_t offset = 0;
     std::int64_t sentAt = 0;
-    std::string piece;
+    std::string chunk;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->meta, this->offset, this->sentAt, this->piece);
+        archive(this->meta, this->offset, this->sentAt, this->chunk);
     }
 };
 
--- a/test/replicas/fulldisktest.cpp
+++ b/test/replicas/fulldisktest.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr RaftSimulation::Odds calm{0, 0, 0, 0};
+constexpr RaftSimulation::FaultRates calm{0, 0, 0, 0};
 
 std::size_t leadAndCommit(RaftSimulation &simulation)
 {
-    simulation.setOdds(calm);
+    simulation.setFaultRates(calm);
     simulation.run(Milliseconds(3000));
     REQUIRE(simulation.leader());
     REQUIRE(simulation.proposeAtLeader());
@@ -42,7 +42,7 @@
     simulation.setFull(leader, false);
     simulation.restart(leader);
     simulation.run(Milliseconds(5000));
-    REQUIRE(simulation.settles(Milliseconds(10000)));
+    REQUIRE(simulation.recovers(Milliseconds(10000)));
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
@@ -61,7 +61,7 @@
     CHECK(simulation.commits() == before);
     simulation.setFull(full, false);
     simulation.run(Milliseconds(5000));
-    REQUIRE(simulation.settles(Milliseconds(10000)));
+    REQUIRE(simulation.recovers(Milliseconds(10000)));
     CHECK(simulation.commits() > before);
     CHECK(simulation.failure() == RaftSimulation::none);
 }
--- a/test/replicas/raftcommittest.cpp
+++ b/test/replicas/raftcommittest.cpp
@@ -65,7 +65,7 @@
     answer(core, 3, VoteReply{true, true, 4}, now);
     answer(core, 4, VoteReply{false, true, 4}, now);
     REQUIRE(core.role() == ReplicaRole::Leader);
-    REQUIRE(core.firstOfTerm() == 3);
+    REQUIRE(core.firstIndexOfTerm() == 3);
 
     AppendReply matched;
     matched.accepted = true;
--- a/test/replicas/raftcoretest.cpp
+++ b/test/replicas/raftcoretest.cpp
@@ -10,12 +10,12 @@
 
 constexpr Milliseconds aWhile{3000};
 constexpr Milliseconds anHour{3600000};
-constexpr RaftSimulation::Odds noFaults{0, 0, 0};
+constexpr RaftSimulation::FaultRates noFaults{0, 0, 0};
 
 /// Formed, with a leader, and with \a commands committed everywhere.
 void begin(RaftSimulation &simulation, std::size_t commands = 3)
 {
-    simulation.setOdds(noFaults);
+    simulation.setFaultRates(noFaults);
     simulation.run(aWhile);
     REQUIRE(simulation.leader().has_value());
     for (std::size_t i = 0; i < commands; ++i) {
@@ -152,7 +152,7 @@
         leader = simulation.leader();
     }
     REQUIRE(leader);
-    REQUIRE(simulation.core(*leader).committed() < simulation.core(*leader).firstOfTerm());
+    REQUIRE(simulation.core(*leader).committed() < simulation.core(*leader).firstIndexOfTerm());
     CHECK_FALSE(simulation.addMember(3));
     simulation.run(aWhile);
     CHECK(simulation.addMember(3));
@@ -337,12 +337,12 @@
     message.from = static_cast<ReplicaId>(1);
     message.to = empty.replica;
     message.term = 3;
-    SnapshotRequest piece;
-    piece.meta = {10, 2, encode(MemberList{}), 6, checksumOf("abcdef")};
+    SnapshotRequest chunk;
+    chunk.meta = {10, 2, encode(MemberList{}), 6, checksumOf("abcdef")};
     const auto offsetAfter = [&](std::uint64_t offset, const std::string &bytes) {
-        piece.offset = offset;
-        piece.piece = bytes;
-        message.body = piece;
+        chunk.offset = offset;
+        chunk.chunk = bytes;
+        message.body = chunk;
         follower.receive(message, 1, Instant{});
         const auto output = follower.takeOutput();
         REQUIRE(output.afterSync.size() == 1);
--- a/test/replicas/raftrandomtest.cpp
+++ b/test/replicas/raftrandomtest.cpp
@@ -19,19 +19,19 @@
     std::size_t refusals = 0;
 };
 
-void runSeed(std::uint64_t seed, std::size_t steps, RaftSimulation::Odds odds, Tally &tally)
+void runSeed(std::uint64_t seed, std::size_t steps, RaftSimulation::FaultRates odds, Tally &tally)
 {
     INFO("seed " << seed);
     const std::size_t voters = seed % 2 == 0 ? 3 : 5;
     RaftSimulation simulation(seed, 6, voters);
-    simulation.setOdds(odds);
+    simulation.setFaultRates(odds);
     for (std::size_t i = 0; i < steps && !simulation.hasFailed(); ++i)
         simulation.step();
     REQUIRE(simulation.failure() == RaftSimulation::none);
-    const bool settles = simulation.settles(Milliseconds(60000));
+    const bool recovers = simulation.recovers(Milliseconds(60000));
     INFO(simulation.describe());
     REQUIRE(simulation.failure() == RaftSimulation::none);
-    REQUIRE(settles);
+    REQUIRE(recovers);
     tally.commits += simulation.commits();
     tally.leaders += simulation.leaders();
     tally.crashes += simulation.crashes;
@@ -42,7 +42,7 @@
 }
 
 Tally runSeeds(std::uint64_t first, std::size_t seeds, std::size_t steps,
-               RaftSimulation::Odds odds = {})
+               RaftSimulation::FaultRates odds = {})
 {
     std::cout << "seeds " << first << " to " << first + seeds - 1 << ", " << steps << " steps each"
               << std::endl;
@@ -74,7 +74,7 @@
 // and must be there once it was acknowledged.
 TEST_CASE("the replicated log holds its promises while disks fill up", "[raft][random]")
 {
-    RaftSimulation::Odds odds;
+    RaftSimulation::FaultRates odds;
     odds.fullDisk = 5;
     const Tally tally = runSeeds(5000, 60, 20000, odds);
     CHECK(tally.refusals > 1000);
--- a/test/replicas/raftsimulation.cpp
+++ b/test/replicas/raftsimulation.cpp
@@ -87,7 +87,7 @@
     options.instance = addressOf(position);
     options.maxBatchBytes = 400;
     options.maxInFlightBytes = 2000;
-    options.snapshotPieceBytes = 3; // several pieces for the eight bytes of state
+    options.snapshotChunkBytes = 3; // several pieces for the eight bytes of state
     options.keptEntries = 5;
     options.random = [this] { return this->random(); };
     node.core =
@@ -118,12 +118,12 @@
             flight.to = static_cast<std::size_t>(std::stoul(outgoing.address));
             flight.token = ++this->lastToken;
             this->calls[flight.token] = {index, flight.message.to};
-            if (auto *piece = std::get_if<SnapshotRequest>(&flight.message.body)) {
+            if (auto *chunk = std::get_if<SnapshotRequest>(&flight.message.body)) {
                 auto bytes = this->nodes[index].journal->readSnapshot(
-                    piece->meta.index, piece->offset, outgoing.pieceBytes);
+                    chunk->meta.index, chunk->offset, outgoing.pieceBytes);
                 if (!bytes)
                     continue;
-                piece->piece = std::move(bytes).value();
+                chunk->chunk = std::move(bytes).value();
             }
         }
         if (static_cast<int>(this->pick(100)) < this->odds.duplicate)
@@ -492,7 +492,7 @@
     }
 }
 
-bool RaftSimulation::settles(Milliseconds limit)
+bool RaftSimulation::recovers(Milliseconds limit)
 {
     this->odds = {0, 0, 0};
     this->isolated.clear();
--- a/test/replicas/raftsimulation.h
+++ b/test/replicas/raftsimulation.h
@@ -23,7 +23,7 @@
 class RaftSimulation
 {
 public:
-    struct Odds
+    struct FaultRates
     {
         int drop = 5; ///< percent of messages lost
         int duplicate = 3; ///< percent delivered twice
@@ -37,7 +37,7 @@
     /// One random event: time, messages, a command, a fault or a change of members.
     void step();
     /// Ends all faults and runs until a command has gone through, or for \a limit of time.
-    bool settles(Milliseconds limit);
+    bool recovers(Milliseconds limit);
     /// Time passes, without random faults.
     void run(Milliseconds duration);
 
@@ -60,7 +60,7 @@
     bool addMember(std::size_t node);
     void takeSnapshot(std::size_t node);
     void transfer(std::size_t node);
-    void setOdds(Odds value) { this->odds = value; }
+    void setFaultRates(FaultRates value) { this->odds = value; }
     std::uint64_t state(std::size_t node) const { return this->nodes[node].state; }
     LogIndex applied(std::size_t node) const { return this->nodes[node].applied; }
 
@@ -127,7 +127,7 @@
 
     std::mt19937_64 random;
     std::mt19937_64 diskRandom; ///< apart, so that seeds without full disks play as they did
-    Odds odds;
+    FaultRates odds;
     Instant now{Microseconds(1000000)};
     std::deque<Node> nodes;
     std::deque<Flight> network;
--- a/test/replicas/restarttest.cpp
+++ b/test/replicas/restarttest.cpp
@@ -11,7 +11,7 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         RaftSimulation simulation(seed, 5, 5);
-        simulation.setOdds({0, 0, 0, 0});
+        simulation.setFaultRates({0, 0, 0, 0});
         simulation.run(Milliseconds(3000));
         REQUIRE(simulation.proposeAtLeader());
         simulation.run(Milliseconds(300));
@@ -31,7 +31,7 @@
 TEST_CASE("a leader that may still be there is waited for after a restart", "[raft]")
 {
     RaftSimulation simulation(3, 3, 3);
-    simulation.setOdds({0, 0, 0, 0});
+    simulation.setFaultRates({0, 0, 0, 0});
     simulation.run(Milliseconds(3000));
     REQUIRE(simulation.leader());
     const std::size_t old = *simulation.leader();
