--- a/src/controller/controllerlink.cpp
+++ b/src/controller/controllerlink.cpp
@@ -169,7 +169,7 @@
     for (const std::string &other : others) {
         if (other == doubted)
             continue;
-        this->messenger.call(other, Method::WhoLeads, {}, limit,
+        this->messenger.call(other, Method::FindLeader, {}, limit,
                              [self = this->shared_from_this(), doubted](
                                  const Result<std::string> &leads) { self->told(doubted, leads); });
     }
--- a/src/replicas/groupkeeper.cpp
+++ b/src/replicas/groupkeeper.cpp
@@ -15,25 +15,26 @@
 
 } // namespace
 
-GroupKeeper::GroupKeeper(GroupKeeperOptions options, ReplicatedLog &log,
-                         const PresenceTable &presence)
+GroupManager::GroupManager(GroupManagerOptions options, ReplicatedLog &log,
+                           const PresenceTable &presence)
     : options(std::move(options))
     , log(log)
     , presence(presence)
 {
-    auto &founders = this->options.founders;
-    std::sort(founders.begin(), founders.end(),
+    auto &initialMembers = this->options.initialMembers;
+    std::sort(initialMembers.begin(), initialMembers.end(),
               [](const auto &a, const auto &b) { return a.address < b.address; });
-    const auto self = std::find_if(founders.begin(), founders.end(), [&](const auto &founder) {
-        return founder.instance == this->options.self.instance;
-    });
+    const auto self =
+        std::find_if(initialMembers.begin(), initialMembers.end(), [&](const auto &founder) {
+            return founder.instance == this->options.self.instance;
+        });
     // One after the other: two formations at once would keep members from each other.
-    if (self != founders.end())
+    if (self != initialMembers.end())
         this->formAt =
-            this->options.clock() + (self - founders.begin()) * this->options.formStagger;
+            this->options.clock() + (self - initialMembers.begin()) * this->options.formStagger;
 }
 
-void GroupKeeper::tick()
+void GroupManager::tick()
 {
     const ReplicaStatus status = this->log.status();
     const Instant now = this->options.clock();
@@ -48,10 +49,10 @@
     }
 }
 
-void GroupKeeper::form()
+void GroupManager::form()
 {
     this->formAt = Instant::max();
-    this->log.form(this->options.founders,
+    this->log.form(this->options.initialMembers,
                    [weak = this->weak_from_this()](const Result<Nothing> &formed) {
                        const auto self = weak.lock();
                        if (self && !formed && formed.error().code != ErrorCode::NotLeader)
@@ -59,7 +60,7 @@
                    });
 }
 
-void GroupKeeper::takeIn(const ReplicaStatus &status)
+void GroupManager::takeIn(const ReplicaStatus &status)
 {
     if (status.members.size() >= this->options.voters)
         return;
@@ -75,7 +76,7 @@
     }
 }
 
-bool GroupKeeper::isComplete() const
+bool GroupManager::isComplete() const
 {
     const ReplicaStatus status = this->log.status();
     const auto voters = std::count_if(status.members.begin(), status.members.end(),
--- a/src/replicas/groupkeeper.h
+++ b/src/replicas/groupkeeper.h
@@ -12,12 +12,12 @@
 
 class PresenceTable;
 
-struct GroupKeeperOptions
+struct GroupManagerOptions
 {
     ReplicaMember self;
     /// Who forms the group at the very first start, the same list everywhere; empty: this
     /// instance forms none and waits to be taken in.
-    std::vector<ReplicaMember> founders;
+    std::vector<ReplicaMember> initialMembers;
     std::size_t voters = 5; ///< twice what may be lost, and one
     /// The founders try one after the other, in the order of their addresses, this far apart.
     Milliseconds formStagger{2500};
@@ -28,10 +28,10 @@
 /// Keeps a group complete without an operator: forms it at the first start, and takes in
 /// instances with a disk until the group has as many voters as it should. Replacing a voter that
 /// is gone is the log's own part (RaftOptions::goneAfter).
-class GroupKeeper : public std::enable_shared_from_this<GroupKeeper>
+class GroupManager : public std::enable_shared_from_this<GroupManager>
 {
 public:
-    GroupKeeper(GroupKeeperOptions options, ReplicatedLog &log, const PresenceTable &presence);
+    GroupManager(GroupManagerOptions options, ReplicatedLog &log, const PresenceTable &presence);
 
     /// To be called often, always from one thread.
     void tick();
@@ -43,7 +43,7 @@
     void form();
     void takeIn(const ReplicaStatus &status);
 
-    GroupKeeperOptions options;
+    GroupManagerOptions options;
     ReplicatedLog &log;
     const PresenceTable &presence;
     Instant formAt = Instant::max();
--- a/src/replicas/inmemorylog.cpp
+++ b/src/replicas/inmemorylog.cpp
@@ -16,7 +16,7 @@
     this->state.members.push_back({std::move(instance), std::move(address), true, 0});
 }
 
-void InMemoryLog::setLeads(bool value)
+void InMemoryLog::setLeading(bool value)
 {
     const std::lock_guard lock(this->mutex);
     this->state.role = value ? ReplicaRole::Leader : ReplicaRole::Follower;
--- a/src/replicas/inmemorylog.h
+++ b/src/replicas/inmemorylog.h
@@ -16,7 +16,7 @@
                          std::string address = "127.0.0.1:0");
 
     /// While false, propose() refuses with NotLeader and the lease is not held.
-    void setLeads(bool value);
+    void setLeading(bool value);
 
     void propose(std::string command, Done<std::string> done) override;
     ReplicaStatus status() const override;
--- a/src/replicas/messenger.h
+++ b/src/replicas/messenger.h
@@ -29,14 +29,14 @@
     Relay = 27,
     // Controller to entry.
     Dispatch = 40,
-    AskAdmission = 41,
-    CarryOrder = 42, ///< to a target, whose answer comes back
+    RequestAdmission = 41,
+    ForwardOrder = 42, ///< to a target, whose answer comes back
     // Any instance to any other.
     Ping = 60,
     ReplicaStatus = 61,
     FormGroup = 62,
     Presence = 63,
-    WhoLeads = 64, ///< a replica: answers with the address of the leader it follows; empty: none
+    FindLeader = 64, ///< a replica: answers with the address of the leader it follows; empty: none
 };
 
 /// Authenticated calls between our own instances over TCP.
--- a/src/replicas/messengeroptions.h
+++ b/src/replicas/messengeroptions.h
@@ -22,8 +22,8 @@
     std::size_t threads = 2;
     Milliseconds heartbeat{500}; ///< between heartbeats on a connection
     /// A connection on which nothing has arrived for this long is replaced.
-    Milliseconds silenceLimit{2000};
-    Milliseconds connectLimit{1000}; ///< for connecting and for the handshake
+    Milliseconds idleTimeout{2000};
+    Milliseconds connectTimeout{1000}; ///< for connecting and for the handshake
     Milliseconds backoffMin{20};
     Milliseconds backoffMax{300};
 };
--- a/src/replicas/outgoingmessage.h
+++ b/src/replicas/outgoingmessage.h
@@ -14,7 +14,7 @@
     RaftMessage message;
     std::string address; ///< of a request
     std::uint64_t replyTo = 0; ///< of a reply: the token that came with the request
-    std::size_t pieceBytes = 0; ///< of a SnapshotRequest: how much to read into it
+    std::size_t chunkBytes = 0; ///< of a SnapshotRequest: how much to read into it
 };
 
 } // namespace guavavalve
--- a/src/replicas/presencetable.cpp
+++ b/src/replicas/presencetable.cpp
@@ -15,7 +15,7 @@
     : clock(std::move(clock))
 {}
 
-void PresenceTable::heard(const PresenceReport &report)
+void PresenceTable::record(const PresenceReport &report)
 {
     const Instant now = this->clock();
     const std::lock_guard lock(this->mutex);
--- a/src/replicas/presencetable.h
+++ b/src/replicas/presencetable.h
@@ -15,7 +15,7 @@
 public:
     explicit PresenceTable(Clock clock = monotonicNow);
 
-    void heard(const PresenceReport &report);
+    void record(const PresenceReport &report);
     /// Those heard within \a within, by instance.
     std::vector<PresenceReport> present(Milliseconds within) const;
 
--- a/src/replicas/raftcore.cpp
+++ b/src/replicas/raftcore.cpp
@@ -179,10 +179,10 @@
         return;
     assert(meta.index <= this->delivered && "a snapshot holds only what was handed out");
     this->snapshot = meta;
-    const LogIndex keep = this->options.keptEntries;
+    const LogIndex keep = this->options.retainedEntries;
     const LogIndex base = meta.index > keep ? meta.index - keep : 0;
     this->log.compactTo(base);
-    while (this->log.bytes() > this->options.keptBytes && this->log.baseIndex() < meta.index)
+    while (this->log.bytes() > this->options.retainedBytes && this->log.baseIndex() < meta.index)
         this->log.compactTo(this->log.baseIndex() + 1);
     while (this->history.size() > 1 && this->history[1].index <= this->log.baseIndex())
         this->history.pop_front();
@@ -274,12 +274,12 @@
 }
 
 void RaftCore::sendTo(const MemberRecord &member, RaftBody body, bool beforeSync,
-                      std::size_t pieceBytes)
+                      std::size_t chunkBytes)
 {
     OutgoingMessage outgoing;
     outgoing.message = this->envelope(member.replica, std::move(body));
     outgoing.address = member.address;
-    outgoing.pieceBytes = pieceBytes;
+    outgoing.chunkBytes = chunkBytes;
     auto &messages = beforeSync ? this->pending.beforeSync : this->pending.afterSync;
     messages.push_back(std::move(outgoing));
 }
--- a/src/replicas/raftcore.h
+++ b/src/replicas/raftcore.h
@@ -100,7 +100,7 @@
     RaftMessage envelope(ReplicaId to, RaftBody body) const;
     void reply(const RaftMessage &request, std::uint64_t token, RaftBody body);
     void sendTo(const MemberRecord &member, RaftBody body, bool beforeSync,
-                std::size_t pieceBytes = 0);
+                std::size_t chunkBytes = 0);
     void replyIdentity(const RaftMessage &request, std::uint64_t token);
     void appendEntry(LogEntry entry);
     void truncateFrom(LogIndex index);
--- a/src/replicas/raftcoreoptions.h
+++ b/src/replicas/raftcoreoptions.h
@@ -22,8 +22,8 @@
     std::size_t maxInFlightBytes = 8U << 20U;
     std::size_t snapshotChunkBytes = 256U << 10U;
     std::size_t maxSnapshotBytes = 512U << 20U;
-    std::size_t keptEntries = 2000;
-    std::size_t keptBytes = 8U << 20U;
+    std::size_t retainedEntries = 2000;
+    std::size_t retainedBytes = 8U << 20U;
     std::function<std::uint64_t()> random;
 };
 
--- a/src/replicas/raftdriver.cpp
+++ b/src/replicas/raftdriver.cpp
@@ -35,8 +35,8 @@
     core.maxInFlightBytes = options.maxInFlightBytes;
     core.snapshotChunkBytes = options.snapshotChunkBytes;
     core.maxSnapshotBytes = options.maxSnapshotBytes;
-    core.keptEntries = options.keptEntries;
-    core.keptBytes = options.keptBytes;
+    core.retainedEntries = options.retainedEntries;
+    core.retainedBytes = options.retainedBytes;
     core.random = options.random;
     return core;
 }
--- a/src/replicas/raftdriversend.cpp
+++ b/src/replicas/raftdriversend.cpp
@@ -137,7 +137,7 @@
     const ReplicaId to = outgoing.message.to;
     if (auto *chunk = std::get_if<SnapshotRequest>(&outgoing.message.body)) {
         auto bytes =
-            this->storage->readSnapshot(chunk->meta.index, chunk->offset, outgoing.pieceBytes);
+            this->storage->readSnapshot(chunk->meta.index, chunk->offset, outgoing.chunkBytes);
         if (!bytes) {
             this->core->unreachable(to, this->options.clock());
             return;
--- a/src/replicas/raftdriverstate.cpp
+++ b/src/replicas/raftdriverstate.cpp
@@ -121,7 +121,7 @@
 {
     const LogIndex base = this->core->entries().baseIndex();
     const std::size_t entries = this->applier.applied() > base ? this->applier.applied() - base : 0;
-    const std::size_t limit = this->options.snapshotAfterEntries + this->options.keptEntries;
+    const std::size_t limit = this->options.snapshotAfterEntries + this->options.retainedEntries;
     const bool isLong =
         entries >= limit || this->bytesSinceSnapshot >= this->options.snapshotAfterBytes;
     const bool isVeryLong = entries >= snapshotPatience * limit
--- a/src/replicas/raftoptions.h
+++ b/src/replicas/raftoptions.h
@@ -40,8 +40,8 @@
     std::size_t snapshotAfterEntries = 20000;
     std::size_t snapshotAfterBytes = 16U << 20U;
     /// Entries kept in memory behind a snapshot, so that a follower a little behind needs none.
-    std::size_t keptEntries = 2000;
-    std::size_t keptBytes = 8U << 20U; ///< the same, in bytes
+    std::size_t retainedEntries = 2000;
+    std::size_t retainedBytes = 8U << 20U; ///< the same, in bytes
 
     /// A voter silent for this long is gone for good: a spare takes its place. Zero: never.
     Milliseconds goneAfter{0};
--- a/src/replicas/tcpconnection.cpp
+++ b/src/replicas/tcpconnection.cpp
@@ -189,8 +189,8 @@
         if (error || !self->isOpen)
             return;
         const Instant now = monotonicNow();
-        const bool isLate = !self->isReady && now > self->startedAt + self->options->connectLimit;
-        const bool isSilent = self->isReady && now > self->lastHeard + self->options->silenceLimit;
+        const bool isLate = !self->isReady && now > self->startedAt + self->options->connectTimeout;
+        const bool isSilent = self->isReady && now > self->lastHeard + self->options->idleTimeout;
         if (isLate)
             ++self->counters->badHandshakes;
         if (isSilent)
--- a/src/replicas/tcppeer.cpp
+++ b/src/replicas/tcppeer.cpp
@@ -87,7 +87,7 @@
 void TcpPeer::connect()
 {
     this->connecting = std::make_unique<TcpConnection::Socket>(this->strand);
-    this->connectTimer.expires_after(this->options->connectLimit);
+    this->connectTimer.expires_after(this->options->connectTimeout);
     this->connectTimer.async_wait([self = this->shared_from_this()](auto error) {
         boost::system::error_code ignored;
         if (!error && self->connecting)
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -83,7 +83,7 @@
     carried.answerWithinMs = msUntil(deadline - replyMargin, now);
     if constexpr (std::is_same_v<Order, StartOrder>)
         carried.leaveWithinMs = msUntil(order.leaveBy, now);
-    this->messenger.call(agent, Method::CarryOrder, encode(carried), deadline,
+    this->messenger.call(agent, Method::ForwardOrder, encode(carried), deadline,
                          [this, agent, post = this->options.post,
                           done = std::move(done)](Result<std::string> reply) {
                              post([this, agent, done, reply = std::move(reply)] {
--- a/src/workflows/targetagentservice.cpp
+++ b/src/workflows/targetagentservice.cpp
@@ -80,7 +80,7 @@
 void TargetAgentService::serve(Messenger &messenger)
 {
     messenger.handle(
-        Method::CarryOrder,
+        Method::ForwardOrder,
         [this](const InstanceId &, const std::string &payload, const Done<std::string> &reply) {
             const auto carried = decode<CarriedOrder>(payload);
             if (!carried) {
--- a/test/controller/cellcontrollertest.cpp
+++ b/test/controller/cellcontrollertest.cpp
@@ -169,7 +169,7 @@
 {
     ControllerFixture cell;
     REQUIRE(cell.synchronise("e1"));
-    cell.log.setLeads(false);
+    cell.log.setLeading(false);
     const auto lease = cell.synchronise("e1");
     REQUIRE(lease.has_error());
     const auto announced = cell.announce(ControllerFixture::target("t1"));
--- a/test/controller/controllerlinktest.cpp
+++ b/test/controller/controllerlinktest.cpp
@@ -40,7 +40,7 @@
             return;
         }
         auto answer = [this, address, method, done = std::move(done)] {
-            if (method == Method::WhoLeads) {
+            if (method == Method::FindLeader) {
                 ++this->questions;
                 done(this->leader);
             } else if (address == this->leader) {
--- a/test/operators/operatorservicetest.cpp
+++ b/test/operators/operatorservicetest.cpp
@@ -94,7 +94,7 @@
 {
     OperatorBench bench;
     const OperatorIdentity boss = bench.makeOperator();
-    bench.log.setLeads(false);
+    bench.log.setLeading(false);
     const auto refused = bench.ask(boss, ListKeysRequest());
     REQUIRE_FALSE(refused);
     CHECK(refused.error().code == ErrorCode::NotLeader);
--- a/test/platform/admissiondispatchertest.cpp
+++ b/test/platform/admissiondispatchertest.cpp
@@ -110,7 +110,7 @@
     // With a question of half a second under way on each machine, a step that runs for 0.8 s would
     // wait as long before it may start.
     for (const char *other : {"a", "b", "c", "d", "e"})
-        this->presence.heard({other, other, false});
+        this->presence.record({other, other, false});
     this->ask(20, Milliseconds(500)); // two each on four machines
     CHECK(eventually([&] { return this->refused == 12; }));
     CHECK(this->messenger.callsTo("a") == 0);
--- a/test/replicas/inmemorylogtest.cpp
+++ b/test/replicas/inmemorylogtest.cpp
@@ -29,7 +29,7 @@
     std::string outcome;
     log.propose("a", [&](Result<std::string> done) { outcome = done.value(); });
     CHECK(outcome == "a@1");
-    log.setLeads(false);
+    log.setLeading(false);
     ErrorCode code = ErrorCode::Internal;
     log.propose("b", [&](Result<std::string> done) { code = done.error().code; });
     CHECK(code == ErrorCode::NotLeader);
--- a/test/replicas/raftcoretest.cpp
+++ b/test/replicas/raftcoretest.cpp
@@ -212,7 +212,7 @@
     begin(simulation, 20);
     const std::size_t lost = otherThan(leaderOf(simulation));
     const ReplicaId before = simulation.core(lost).self();
-    simulation.loseDisk(lost);
+    simulation.eraseDisk(lost);
     const ReplicaId after = simulation.core(lost).self();
     REQUIRE(after != before);
     simulation.run(aWhile);
@@ -248,7 +248,7 @@
         const std::size_t commits = simulation.commits();
         const std::size_t leader = leaderOf(simulation);
         const std::size_t first = otherThan(leader);
-        simulation.loseDisk(first);
+        simulation.eraseDisk(first);
         const ReplicaId repaired = simulation.core(first).self();
         for (int i = 0; i < 1000; ++i) {
             if (simulation.core(leader).committedMembers().isVoter(repaired))
@@ -257,7 +257,7 @@
         }
         REQUIRE(simulation.core(leader).committedMembers().isVoter(repaired));
         CHECK(simulation.core(first).entries().lastIndex() >= commits);
-        simulation.loseDisk(leader); // the one that had everything
+        simulation.eraseDisk(leader); // the one that had everything
         simulation.run(2 * aWhile);
         const std::size_t next = leaderOf(simulation);
         CHECK(simulation.applied(next) >= commits);
--- a/test/replicas/raftnodefailuretest.cpp
+++ b/test/replicas/raftnodefailuretest.cpp
@@ -139,7 +139,7 @@
         REQUIRE(group.propose(std::to_string(i)));
     const std::string lost = followerOf(group);
     group.stop(lost);
-    group.loseDisk(lost);
+    group.eraseDisk(lost);
     REQUIRE(group.start(lost));
     CHECK(waitFor([&] {
         return group.at(lost).node->status().role == ReplicaRole::Follower
@@ -188,7 +188,7 @@
 {
     TestGroup group([](RaftOptions &options) {
         options.snapshotAfterEntries = 50;
-        options.keptEntries = 10;
+        options.retainedEntries = 10;
     });
     startAndForm(group, {"a", "b", "c"});
     const std::string away = followerOf(group);
--- a/test/replicas/raftsimulation.cpp
+++ b/test/replicas/raftsimulation.cpp
@@ -88,7 +88,7 @@
     options.maxBatchBytes = 400;
     options.maxInFlightBytes = 2000;
     options.snapshotChunkBytes = 3; // several pieces for the eight bytes of state
-    options.keptEntries = 5;
+    options.retainedEntries = 5;
     options.random = [this] { return this->random(); };
     node.core =
         std::make_unique<RaftCore>(std::move(options), recovered.value(), this->clockOf(node));
@@ -120,7 +120,7 @@
             this->calls[flight.token] = {index, flight.message.to};
             if (auto *chunk = std::get_if<SnapshotRequest>(&flight.message.body)) {
                 auto bytes = this->nodes[index].journal->readSnapshot(
-                    chunk->meta.index, chunk->offset, outgoing.pieceBytes);
+                    chunk->meta.index, chunk->offset, outgoing.chunkBytes);
                 if (!bytes)
                     continue;
                 chunk->chunk = std::move(bytes).value();
@@ -284,7 +284,7 @@
     return fewest >= 3;
 }
 
-void RaftSimulation::loseDisk(std::size_t index)
+void RaftSimulation::eraseDisk(std::size_t index)
 {
     this->crash(index);
     ++this->lostDisks;
@@ -399,7 +399,7 @@
         break;
     default:
         if (this->canLoseDisk())
-            this->loseDisk(index);
+            this->eraseDisk(index);
     }
 }
 
--- a/test/replicas/raftsimulation.h
+++ b/test/replicas/raftsimulation.h
@@ -48,7 +48,7 @@
     void cutLink(std::size_t a, std::size_t b) { this->cutLinks.insert(std::minmax(a, b)); }
     void crash(std::size_t node);
     void restart(std::size_t node);
-    void loseDisk(std::size_t node);
+    void eraseDisk(std::size_t node);
     /// The replica is killed in its next write, before the sync.
     void setFull(std::size_t node, bool isFull) { this->nodes[node].folder->isFull = isFull; }
     void dieInNextWrite(std::size_t node) { this->nodes[node].folder->stepsLeft = 1; }
--- a/test/replicas/tcpmessengertest.cpp
+++ b/test/replicas/tcpmessengertest.cpp
@@ -262,7 +262,7 @@
 {
     auto options = optionsOf("caller");
     options.heartbeat = Milliseconds(50);
-    options.silenceLimit = Milliseconds(300);
+    options.idleTimeout = Milliseconds(300);
     TcpMessenger caller(options);
     REQUIRE(caller.start());
     // A peer that shakes hands and answers nothing more: the first connection only.
@@ -310,7 +310,7 @@
     Tcp::acceptor frozen(context, {asio::ip::make_address("127.0.0.1"), 0});
     auto options = optionsOf("caller");
     options.maxQueuedBytes = 100000;
-    options.connectLimit = Milliseconds(60000);
+    options.connectTimeout = Milliseconds(60000);
     TcpMessenger caller(options);
     REQUIRE(caller.start());
     const std::string address = "127.0.0.1:" + std::to_string(frozen.local_endpoint().port());
--- a/test/replicas/testgroup.h
+++ b/test/replicas/testgroup.h
@@ -116,7 +116,7 @@
     }
 
     void stop(const std::string &name) { this->instances.erase(name); }
-    void loseDisk(const std::string &name)
+    void eraseDisk(const std::string &name)
     {
         std::filesystem::remove_all(this->folder.path() + "/" + name);
     }
--- a/test/workflows/simulatedagents.cpp
+++ b/test/workflows/simulatedagents.cpp
@@ -23,7 +23,7 @@
     {}
     void handle(Method method, Handler newHandler) override
     {
-        if (method == Method::CarryOrder)
+        if (method == Method::ForwardOrder)
             this->handler = std::move(newHandler);
     }
     void call(const std::string &address, Method, std::string payload, Instant deadline,
--- a/test/workflows/simulation.cpp
+++ b/test/workflows/simulation.cpp
@@ -43,7 +43,7 @@
 {
     if (!this->terms.empty()) {
         ControllerTerm *before = this->terms.back().get();
-        before->log.setLeads(false);
+        before->log.setLeading(false);
         this->loop.runAfter(overlap, [before] { before->controller->leadershipChanged(false, 0); });
     }
     auto newTerm = std::make_unique<ControllerTerm>(this->machine, this->loop, this->storeTime);
