--- a/src/schema/fieldcheck.cpp
+++ b/src/schema/fieldcheck.cpp
@@ -126,12 +126,12 @@
         const auto spec = this->specsByPath.find(path);
         if (canBeKnown && spec != this->specsByPath.end()) {
             if (!valueAllowed(value, *spec->second))
-                this->problems.push_back({path, shortJson(value), spec->second->allowed()});
+                this->problems.push_back({path, truncatedJson(value), spec->second->allowed()});
         } else if (canBeKnown && this->groups.count(path) != 0) {
             if (value.is_object())
                 this->checkObject(value, path);
             else
-                this->problems.push_back({path, shortJson(value), "an object"});
+                this->problems.push_back({path, truncatedJson(value), "an object"});
         } else {
             this->problems.push_back({path, "an unknown name", "the names of the reference page"});
         }
--- a/src/schema/jsondocument.cpp
+++ b/src/schema/jsondocument.cpp
@@ -132,7 +132,7 @@
     internal::DocumentBuilder builder(document);
     document.whole = nlohmann::json::sax_parse(text, &builder);
     if (document.problems.empty() && !document.value.is_object())
-        document.problems.push_back({"", shortJson(document.value), "one JSON object"});
+        document.problems.push_back({"", truncatedJson(document.value), "one JSON object"});
     return document;
 }
 
@@ -143,7 +143,7 @@
     return path + "." + name;
 }
 
-std::string shortJson(const nlohmann::json &value)
+std::string truncatedJson(const nlohmann::json &value)
 {
     std::string text = value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     if (text.size() > internal::maxShownLength) {
--- a/src/schema/jsondocument.h
+++ b/src/schema/jsondocument.h
@@ -29,6 +29,6 @@
 std::string joinPath(const std::string &path, const std::string &name);
 
 /// \a value as JSON text, cut to a length that fits a message; bytes that are not UTF-8 replaced.
-std::string shortJson(const nlohmann::json &value);
+std::string truncatedJson(const nlohmann::json &value);
 
 } // namespace guavavalve
--- a/src/state/sectiondiff.cpp
+++ b/src/state/sectiondiff.cpp
@@ -19,7 +19,7 @@
         if (value.is_object())
             collectLeaves(value, at, leaves);
         else
-            leaves[at] = shortJson(value);
+            leaves[at] = truncatedJson(value);
     }
 }
 
