--- a/src/replicas/groupkeeper.cpp
+++ b/src/replicas/groupmanager.cpp
@@ -1,4 +1,4 @@
-#include "replicas/groupkeeper.h"
+#include "replicas/groupmanager.h"
 
 #include "replicas/presencetable.h"
 
