--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -11,7 +11,8 @@
 
 /// Number of consecutive polls without an answer after which no lease is renewed. If the path is
 /// interrupted in one direction only, polls that arrive would otherwise renew the lease
-/// indefinitely. Once the target answers again, the lease is renewed again.
+/// indefinitely. The next poll is answered without waiting, and after its answer the lease is
+/// renewed again.
 constexpr unsigned maxUnansweredPolls = 1;
 constexpr std::int64_t perThousand = 1000;
 
