--- a/test/operators/operatorbench.h
+++ b/test/operators/operatorbench.h
@@ -21,12 +21,12 @@
 namespace guavavalve {
 
 /// One replica's state behind the operators' service and routes, with no scheduler or targets.
-class OperatorBench
+class OperatorFixture
 {
 public:
     static constexpr const char *secret = "a cluster secret for tests";
 
-    OperatorBench()
+    OperatorFixture()
         : log(machine)
         , service(hooks())
         , server(HttpServerOptions())
@@ -42,9 +42,9 @@
         addOperatorRoutes(this->server, std::move(options));
         REQUIRE(this->server.start());
     }
-    ~OperatorBench() { this->server.close(); }
-    OperatorBench(const OperatorBench &) = delete;
-    OperatorBench &operator=(const OperatorBench &) = delete;
+    ~OperatorFixture() { this->server.close(); }
+    OperatorFixture(const OperatorFixture &) = delete;
+    OperatorFixture &operator=(const OperatorFixture &) = delete;
 
     /// What the question gives when \a who asks it.
     template<typename Question>
--- a/test/operators/operatoridentificationtest.cpp
+++ b/test/operators/operatoridentificationtest.cpp
@@ -4,11 +4,11 @@
 
 TEST_CASE("A granted token is known and everything near it is refused alike")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     REQUIRE(bench.identify(bench.operatorToken));
     CHECK(bench.identify(bench.operatorToken).value().isOperator);
-    REQUIRE(bench.identify(OperatorBench::clusterToken()));
+    REQUIRE(bench.identify(OperatorFixture::clusterToken()));
 
     std::string changed = bench.operatorToken;
     changed.back() = changed.back() == '0' ? '1' : '0';
--- a/test/operators/operatorservicetest.cpp
+++ b/test/operators/operatorservicetest.cpp
@@ -19,18 +19,18 @@
 // operator without the first. The resend gives the same key and the same token.
 TEST_CASE("A resent grant gives the same token and grants no second key")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const GrantKeyRequest request{"", true, "first", "r-1"};
-    const auto first = bench.ask(OperatorBench::clusterHolder(), request);
-    const auto again = bench.ask(OperatorBench::clusterHolder(), request);
+    const auto first = bench.ask(OperatorFixture::clusterHolder(), request);
+    const auto again = bench.ask(OperatorFixture::clusterHolder(), request);
     REQUIRE(first);
     REQUIRE(again);
     CHECK(again.value().token == first.value().token);
-    const auto keys = bench.ask(OperatorBench::clusterHolder(), ListKeysRequest());
+    const auto keys = bench.ask(OperatorFixture::clusterHolder(), ListKeysRequest());
     REQUIRE(keys);
     CHECK(keys.value().keys.size() == 1);
     const auto other =
-        bench.ask(OperatorBench::clusterHolder(), GrantKeyRequest{"", true, "", "r-2"});
+        bench.ask(OperatorFixture::clusterHolder(), GrantKeyRequest{"", true, "", "r-2"});
     REQUIRE(other);
     CHECK(other.value().token != first.value().token);
 }
@@ -39,7 +39,7 @@
 // the later one silently undoes the other's change. One of them wins and the other is told.
 TEST_CASE("Of two operators who replace the same version one wins and the other is told")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity one = bench.makeOperator();
     REQUIRE(bench.ask(one, writeOf("team.mill", 0, "w-0")));
     REQUIRE(bench.ask(one, writeOf("team.mill", 1, "w-1")));
@@ -57,7 +57,7 @@
 
 TEST_CASE("A team writes its own section and neither another nor what is the operators'")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     REQUIRE(bench.ask(boss, writeOf("team.mill", 0, "w-0")));
     REQUIRE(bench.ask(boss, writeOf("team.tours", 0, "w-1")));
@@ -79,10 +79,10 @@
 // question on as that of a valid operator. The controller looks at the key's record and refuses.
 TEST_CASE("A withdrawn key is refused at the controller whatever the entry says of it")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     bench.grantSpareOperator();
-    REQUIRE(bench.ask(OperatorBench::clusterHolder(), WithdrawKeyRequest{boss.keyId, "x-1"}));
+    REQUIRE(bench.ask(OperatorFixture::clusterHolder(), WithdrawKeyRequest{boss.keyId, "x-1"}));
     const auto refused = bench.ask(boss, ListTeamsRequest());
     REQUIRE_FALSE(refused);
     CHECK(refused.error().code == ErrorCode::Unauthenticated);
@@ -92,7 +92,7 @@
 // reaches the old one would be answered from a state that has moved on without it.
 TEST_CASE("A controller without its lease answers no operator")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     bench.log.setLeading(false);
     const auto refused = bench.ask(boss, ListKeysRequest());
@@ -102,7 +102,7 @@
 
 TEST_CASE("A check of drafts reports every problem and changes nothing")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     const auto before = bench.ask(boss, ShowConfigurationRequest());
     const auto check = bench.ask(
@@ -120,7 +120,7 @@
 
 TEST_CASE("A configuration is in force everywhere when the rest accept no work")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     bench.instances = {{"e1", 1, true}, {"e2", 0, true}};
     CHECK_FALSE(bench.ask(boss, ConfigurationInForceRequest()).value().everywhere);
@@ -130,7 +130,7 @@
 
 TEST_CASE("A drained target takes no work and is shown as draining")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     RegisterTarget command;
     command.name = "press-1";
@@ -152,7 +152,7 @@
 
 TEST_CASE("An evacuated failure domain closes its targets, those that come later too")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const OperatorIdentity boss = bench.makeOperator();
     RegisterTarget command;
     command.name = "press-1";
--- a/test/tool/tooltest.cpp
+++ b/test/tool/tooltest.cpp
@@ -33,7 +33,7 @@
 }
 
 /// Runs the tool against \a bench with \a key.
-Outcome runAt(const OperatorBench &bench, const std::string &key,
+Outcome runAt(const OperatorFixture &bench, const std::string &key,
               std::vector<std::string> arguments)
 {
     arguments.push_back("--server=" + bench.address());
@@ -100,7 +100,7 @@
 
 TEST_CASE("An entry that is not there is passed over for the next one")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     bench.makeOperator();
     const Outcome outcome = run({"keys", "list", "--key=" + bench.operatorToken,
                                  "--server=127.0.0.1:1," + bench.address()});
@@ -113,13 +113,13 @@
 
 TEST_CASE("The tool takes a new cell from its forming to a team's key")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     const Outcome formed =
-        runAt(bench, OperatorBench::clusterToken(), {"form", "r1=127.0.0.1:7001"});
+        runAt(bench, OperatorFixture::clusterToken(), {"form", "r1=127.0.0.1:7001"});
     CHECK(formed.code == 0);
     CHECK(bench.formed == 1);
     const Outcome granted =
-        runAt(bench, OperatorBench::clusterToken(), {"keys", "grant", "--role=operator"});
+        runAt(bench, OperatorFixture::clusterToken(), {"keys", "grant", "--role=operator"});
     REQUIRE(granted.code == 0);
     const std::string boss = trimmed(granted.out);
 
@@ -145,7 +145,7 @@
 
 TEST_CASE("Programs get JSON and exit codes that tell a lost race from a refusal")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     bench.makeOperator();
     const TemporaryFile section(R"({"description":"tours"})");
     const std::vector<std::string> set{
@@ -165,7 +165,7 @@
 
 TEST_CASE("The tool shows the cell at a glance")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     bench.makeOperator();
     bench.instances = {{"e1", 0, true}};
     const Outcome status = runAt(bench, bench.operatorToken, {"status"});
@@ -183,7 +183,7 @@
 // and again after a lost connection. The second time there is nothing left to write.
 TEST_CASE("A whole document is applied section by section and applying it again changes nothing")
 {
-    OperatorBench bench;
+    OperatorFixture bench;
     bench.makeOperator();
     const TemporaryFile document(
         R"({"team.mill":{"share":300},"cell":{"totalShares":500},"team.tours":{"share":100}})");
