--- a/src/operators/questionparsing.cpp
+++ b/src/operators/operatorrequestparsing.cpp
@@ -1,4 +1,4 @@
-#include "operators/questionparsing.h"
+#include "operators/operatorrequestparsing.h"
 
 #include "operators/requestfields.h"
 #include "runtime/httpserver.h"
--- a/src/operators/operatorroutes.cpp
+++ b/src/operators/operatorroutes.cpp
@@ -2,7 +2,7 @@
 
 #include "controller/operatorclient.h"
 #include "operators/operatorjson.h"
-#include "operators/questionparsing.h"
+#include "operators/operatorrequestparsing.h"
 #include "runtime/bearertoken.h"
 #include "runtime/httperror.h"
 #include "runtime/httpserver.h"
--- a/test/operators/operatoridentificationtest.cpp
+++ b/test/operators/operatoridentificationtest.cpp
@@ -1,4 +1,4 @@
-#include "operators/operatorbench.h"
+#include "operators/operatorfixture.h"
 
 using namespace guavavalve;
 
