--- a/src/controller/announcement.h
+++ b/src/controller/announcement.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// One attempt as its target names it.
+/// Identifies one attempt in the messages between a target and the controller.
 struct AttemptId
 {
     TaskId task = TaskId::None;
@@ -22,19 +22,19 @@
     }
 };
 
-/// What a target says of itself, as an entry passes it on.
+/// A target's report of its address, resources and attempts, as forwarded by an entry.
 struct Announcement
 {
-    std::string name; ///< the target's identity, kept over its restarts
+    std::string name; ///< identity of the target, unchanged by a restart
     Incarnation incarnation = 0;
     std::string address; ///< "ip:port" of its HTTP listener
     std::string failureDomain;
     std::string rack;
     Resources total;
-    Resources used; ///< measured, with a lag
+    Resources used; ///< measured usage, which lags behind the actual usage
     bool departing = false;
     std::vector<AttemptId> running;
-    std::vector<AttemptId> revoked; ///< attempts ended or refused for ever, as asked
+    std::vector<AttemptId> revoked; ///< acknowledges the attempts of AnnouncementReply::revoke
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -44,13 +44,14 @@
     }
 };
 
-/// The controller's answer to an Announcement.
+/// The controller's reply to an Announcement.
 struct AnnouncementReply
 {
     TargetId target = TargetId::None;
-    std::int64_t leaseMs = 0; ///< counted by the target from when it sent the announcement
-    std::vector<AttemptId> revoke; ///< to end, or to refuse for ever, and to acknowledge
-    std::vector<AttemptId> forget; ///< ended attempts whose answers need not be kept any longer
+    std::int64_t leaseMs = 0; ///< counted by the target from the time it sent the announcement
+    /// Attempts that the target must end, or must never start, and then acknowledge.
+    std::vector<AttemptId> revoke;
+    std::vector<AttemptId> forget; ///< ended attempts whose answers the target may discard
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/attemptend.h
+++ b/src/controller/attemptend.h
@@ -8,15 +8,15 @@
 
 namespace guavavalve {
 
-/// The known end of an attempt, to be committed before its caller is answered.
+/// The outcome of an attempt that has ended, which is committed before its caller is answered.
 struct AttemptEnd
 {
     TaskId task = TaskId::None;
     AttemptNumber attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::Failed;
-    std::uint64_t answerLength = 0; ///< bytes; the answer itself stays with target and entry
+    std::uint64_t answerLength = 0; ///< bytes; the target and the entry hold the answer itself
     std::string answerDigest;
-    std::string message; ///< of a failure, for a person to read
+    std::string message; ///< human-readable description of a failure
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/cellcontroller.cpp
+++ b/src/controller/cellcontroller.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// How often expired waiters, dead entries and old jobs are looked for.
+// Interval between checks for expired leases and waiters, dead entries and old jobs.
 constexpr Milliseconds sweepInterval{50};
 
 } // namespace
@@ -129,7 +129,7 @@
     this->post<SyncReply>(std::move(done),
                           [this, request = std::move(request)](const Done<SyncReply> &reply) {
                               const Instant now = this->options.clock();
-                              this->hold({request, now + Milliseconds(request.waitMs), reply});
+                              this->holdSync({request, now + Milliseconds(request.waitMs), reply});
                           });
 }
 
@@ -137,16 +137,16 @@
 {
     this->post<CommandValue>(
         std::move(done), [this, command = std::move(command)](const Done<CommandValue> &reply) {
-            this->add(command, [this, command, reply](const Result<CommandValue> &outcome) {
+            this->enqueue(command, [this, command, reply](const Result<CommandValue> &outcome) {
                 if (outcome)
-                    this->tellClosedTargets(command);
+                    this->updateClosedTargets(command);
                 reply(outcome);
             });
         });
 }
 
-/// The scheduler learns which targets an operator has closed to new work or opened.
-void CellController::tellClosedTargets(const Command &command)
+/// Tells the scheduler which targets an operator has closed to new tasks or reopened.
+void CellController::updateClosedTargets(const Command &command)
 {
     const auto *drain = std::get_if<SetTargetDraining>(&command);
     const auto *evacuate = std::get_if<SetDomainEvacuated>(&command);
@@ -155,9 +155,10 @@
     std::vector<TargetInfo> changed;
     this->state.read([&](const ClusterState &cluster) {
         for (const auto &[id, target] : cluster.targets()) {
-            const bool isMeant = drain != nullptr ? id == drain->target
-                                                  : target.failureDomain == evacuate->failureDomain;
-            if (isMeant)
+            const bool isAffected = drain != nullptr
+                ? id == drain->target
+                : target.failureDomain == evacuate->failureDomain;
+            if (isAffected)
                 changed.push_back(this->feed.targetInfo(target));
         }
     });
@@ -168,7 +169,7 @@
 Explanation CellController::explain(TaskId task)
 {
     Explanation explanation;
-    this->onLoop([this, task, &explanation] {
+    this->runOnLoop([this, task, &explanation] {
         if (this->scheduler)
             explanation = this->scheduler->explain(task);
     });
@@ -178,14 +179,14 @@
 Statistics CellController::statistics()
 {
     Statistics statistics;
-    this->onLoop([this, &statistics] {
+    this->runOnLoop([this, &statistics] {
         if (this->scheduler)
             statistics = this->scheduler->statistics();
     });
     return statistics;
 }
 
-void CellController::onLoop(const std::function<void()> &action)
+void CellController::runOnLoop(const std::function<void()> &action)
 {
     if (this->loop.isCurrentThread()) {
         action();
@@ -209,15 +210,16 @@
     return failure(ErrorCode::NotLeader, this->log.status().leaderAddress);
 }
 
-void CellController::add(Command command, Done<CommandValue> done)
+void CellController::enqueue(Command command, Done<CommandValue> done)
 {
-    // After a change of leadership the scheduler is another one, and the outcome is no business
-    // of the new term's: who waited has been told by loseLeadership().
-    const std::shared_ptr<bool> current = this->term;
+    // After a change of leadership there is a new scheduler, which must not see outcomes of an
+    // earlier term. loseLeadership() has already answered the requests that waited for them.
+    const std::shared_ptr<bool> current = this->termActive;
     this->pipeline.add(
         std::move(command), [current, done = std::move(done)](Result<CommandValue> outcome) {
             if (!*current && outcome) {
-                Error lost = failure(ErrorCode::Unavailable, "leadership was lost meanwhile");
+                Error lost = failure(ErrorCode::Unavailable,
+                                     "leadership was lost before the outcome was known");
                 lost.ran = Ran::Unknown;
                 outcome = lost;
             }
@@ -229,35 +231,35 @@
 {
     const TimePair now = this->time();
     this->leading = true;
-    this->term = std::make_shared<bool>(true);
+    this->termActive = std::make_shared<bool>(true);
     this->scheduler = this->options.makeScheduler();
     const Instant entryDeadline = now.now + this->options.entryTimeout;
     this->state.read([&](const ClusterState &cluster) {
         this->refusedTasks = this->feed.rebuild(*this->scheduler, cluster, now);
         this->policyVersion = cluster.configuration().version();
         this->nextTaskValue = idValue(cluster.nextTask());
-        this->expectLeasesAndEntries(cluster, now, entryDeadline);
+        this->restoreLeasesAndOrders(cluster, now, entryDeadline);
     });
     this->retryRefusedTasks();
 }
 
-void CellController::expectLeasesAndEntries(const ClusterState &cluster, const TimePair &time,
+void CellController::restoreLeasesAndOrders(const ClusterState &cluster, const TimePair &time,
                                             Instant entryDeadline)
 {
     const Instant now = time.now;
-    // A new controller does not know what leases its predecessor gave, so every lease is counted
-    // from this election, at the longest that the predecessor may have given.
+    // A new controller does not know which leases its predecessor granted, so every lease is
+    // counted from this election with the longest duration that the predecessor may have granted.
     const Milliseconds lease(cluster.configuration().longestTargetLeaseMs());
     for (const auto &[id, target] : cluster.targets()) {
         if (target.lapsed)
             continue;
         this->leases.renew(id, now + lease);
-        this->hearing.renew(id, now + this->options.targetQuietAfter);
+        this->heartbeatDeadlines.renew(id, now + this->options.targetUnresponsiveAfter);
     }
     for (const auto &[id, job] : cluster.jobs()) {
         if (job.finished()) {
             this->finishedJobs.emplace_back(now + this->options.finishedRetention, id);
-            this->toldFinished.insert(id);
+            this->reportedJobs.insert(id);
             continue;
         }
         if (job.finishBy != 0)
@@ -266,9 +268,9 @@
             const TaskRecord &task = job.tasks[i];
             if (task.state != TaskState::Placed)
                 continue;
-            this->entryTable.expect(task.dispatcher, entryDeadline);
-            // Whether the predecessor's order reached the entry is not known; an entry that has
-            // not heard of the attempt finds out from the target whether it began.
+            this->entryTable.expectHeartbeat(task.dispatcher, entryDeadline);
+            // It is not known whether the predecessor's order reached the entry. An entry that does
+            // not know the attempt asks the target whether it has started.
             const DispatchAction action =
                 job.cancelled ? DispatchAction::Stop : DispatchAction::Follow;
             this->outbox.put(task.dispatcher, describeOrder(cluster, job, i, action), now);
@@ -279,16 +281,16 @@
 void CellController::loseLeadership()
 {
     this->leading = false;
-    *this->term = false;
+    *this->termActive = false;
     this->scheduler.reset();
     this->leases.clear();
-    this->hearing.clear();
-    this->quietTargets.clear();
+    this->heartbeatDeadlines.clear();
+    this->unresponsiveTargets.clear();
     this->outbox.clear();
     this->entryTable.clear();
     this->refusedTasks.clear();
     this->finishedJobs.clear();
-    this->toldFinished.clear();
+    this->reportedJobs.clear();
     this->finishDeadlines.clear();
     this->wakeup = Instant::max();
 
@@ -329,10 +331,10 @@
 
 void CellController::sweep(Instant now)
 {
-    this->quietenTargets(now);
+    this->markUnresponsiveTargets(now);
     this->lapseTargets(now);
     for (const InstanceId &entry : this->entryTable.takeDead(now))
-        this->loseEntry(entry);
+        this->reassignAttemptsOf(entry);
     for (auto &[job, waiter] : this->waiters.takeExpired(now))
         waiter.done(this->statusOf({}, job));
     this->answerSyncs();
@@ -350,14 +352,14 @@
 Result<JobStatus> CellController::statusOf(const std::string &team, JobId job) const
 {
     if (!this->log.holdsLeaderLease())
-        return failure(ErrorCode::Unavailable, "the controller has no quorum at the moment");
+        return failure(ErrorCode::Unavailable, "the controller currently has no quorum");
     return this->state.read([&](const ClusterState &cluster) -> Result<JobStatus> {
         const JobRecord *record = cluster.job(job);
         const TeamRecord *owner = record == nullptr ? nullptr : cluster.team(record->team);
         if (owner == nullptr || (!team.empty() && owner->name != team)) {
             return failure(ErrorCode::NotFound,
-                           "there is no such job of this team; finished jobs are forgotten "
-                           "after the retention time");
+                           "this team has no such job; finished jobs are removed after the "
+                           "retention time");
         }
         return describeJob(cluster, *record);
     });
@@ -370,9 +372,10 @@
         return;
     for (const JobWaiters::Waiter &waiter : this->waiters.take(job))
         waiter.done(status.value());
-    // An end is reported again until its reporter hears that it is committed, and the tasks of a
-    // job may end in one round: each of them comes here. The job's waiting time counts once.
-    if (!this->toldFinished.insert(job).second)
+    // An end is reported repeatedly until the entry learns that it is committed, and several tasks
+    // of a job may end in one round, so a finished job can reach this point more than once. Its
+    // waiting time must be counted once.
+    if (!this->reportedJobs.insert(job).second)
         return;
     this->finishedJobs.emplace_back(this->options.clock() + this->options.finishedRetention, job);
     if (this->options.observeWait) {
@@ -392,11 +395,11 @@
     };
     while (isDue() && command.jobs.size() < maxForgotten) {
         command.jobs.push_back(this->finishedJobs.front().second);
-        this->toldFinished.erase(this->finishedJobs.front().second);
+        this->reportedJobs.erase(this->finishedJobs.front().second);
         this->finishedJobs.pop_front();
     }
     if (!command.jobs.empty())
-        this->add(std::move(command), [](const Result<CommandValue> &) {});
+        this->enqueue(std::move(command), [](const Result<CommandValue> &) {});
 }
 
 } // namespace guavavalve
--- a/src/controller/cellcontroller.h
+++ b/src/controller/cellcontroller.h
@@ -30,12 +30,14 @@
 class ClusterStateMachine;
 class ReplicatedLog;
 
-/// The controller of one replica group: while its replica leads, it decides, commits, and only
-/// then has anyone act. Every public function may be called from any thread and returns at once;
-/// what it starts runs on the controller's own loop.
+/// The controller of one replica group. While its replica leads, it makes the scheduling
+/// decisions, commits them to the replicated log and only then has them carried out. Public
+/// functions may be called from any thread. Unless noted otherwise they return at once, and the
+/// work runs on the controller's own event loop.
 ///
-/// \errors NotLeader, with the leader's address as message, from every request when this replica
-/// does not lead; Unavailable when the loop's queue is full or leadership was lost meanwhile.
+/// \errors NotLeader, with the leader's address as message, from every request if this replica
+/// does not lead; Unavailable if the loop's queue is full or leadership is lost before the
+/// outcome is known.
 class CellController
 {
 public:
@@ -47,7 +49,7 @@
     void start();
     void stop();
 
-    /// To be called by the log's leadership hook.
+    /// Called by the replicated log when this replica gains or loses leadership.
     void leadershipChanged(bool leads);
 
     void submit(SubmitRequest request, Done<SubmitReply> done);
@@ -59,12 +61,13 @@
                   Done<std::vector<AnnouncementReply>> done);
     void synchronise(SyncRequest request, Done<SyncReply> done);
 
-    /// Commits one command for the operators' service.
+    /// Commits one command on behalf of the OperatorService.
     void propose(Command command, Done<CommandValue> done);
 
-    /// What the scheduler says of \a task; empty where this replica does not lead. Waits for the
-    /// loop's present round, unless called from the loop itself.
+    /// The scheduler's explanation of the state of \a task; empty if this replica does not lead.
+    /// Blocks until the loop's current round has ended, unless called from the loop itself.
     Explanation explain(TaskId task);
+    /// The scheduler's statistics. Blocks in the same way as explain().
     Statistics statistics();
 
     std::int64_t cellTimeMs() const { return this->options.cellTime(); }
@@ -78,13 +81,14 @@
         std::vector<Done<SubmitReply>> waiting;
         JobId job = JobId::None;
     };
-    /// What the state knows about the sender of a request.
+    /// What the replicated state holds about the sender of a submit request.
     struct Submitter
     {
         TeamId team = TeamId::None;
-        bool isResend = false; ///< the idempotency key stands for a job already
-        std::int64_t startWithinMs = 0; ///< asked for, or the configured default
+        bool isResend = false; ///< the idempotency key already belongs to a job
+        std::int64_t startWithinMs = 0; ///< as requested, or the configured default
     };
+    /// A configuration sync whose reply is held back until the configuration changes.
     struct HeldSync
     {
         SyncRequest request;
@@ -94,16 +98,18 @@
 
     using PendingKey = std::pair<std::string, std::string>; ///< team and idempotency key
 
-    void onLoop(const std::function<void()> &action);
+    void runOnLoop(const std::function<void()> &action);
 
     template<typename T>
     void post(Done<T> done, std::function<void(const Done<T> &)> action);
     TimePair time() const;
     Error notLeader() const;
-    void add(Command command, Done<CommandValue> done);
+    /// Adds \a command to the current round's batch. \a done gets an error if the leadership term
+    /// has ended by then.
+    void enqueue(Command command, Done<CommandValue> done);
 
     void becomeLeader();
-    void expectLeasesAndEntries(const ClusterState &cluster, const TimePair &time,
+    void restoreLeasesAndOrders(const ClusterState &cluster, const TimePair &time,
                                 Instant entryDeadline);
     void loseLeadership();
     void roundEnded();
@@ -126,10 +132,10 @@
     PlaceTask placement(const Decision &decision);
     void placementCommitted(const PlaceTask &place, const Result<CommandValue> &outcome);
     void refuse(const Decision &decision);
-    void orderMakingRoom(const Decision &decision, DispatchAction action);
+    void orderPreemption(const Decision &decision, DispatchAction action);
 
     void recordEnd(const AttemptEnd &end, const Done<Nothing> &done);
-    void attemptOver(TaskId task, AttemptOutcome outcome);
+    void handleAttemptEnd(TaskId task, AttemptOutcome outcome);
     void jobChanged(JobId job);
     void cancel(const std::string &team, JobId job, const Done<JobStatus> &done);
     void cancelOverdueJobs(Instant now);
@@ -142,13 +148,13 @@
                              const Done<std::vector<AnnouncementReply>> &done);
     void targetRegistered(const std::string &name, const std::vector<TaskId> &before);
     void lapseTargets(Instant now);
-    void quietenTargets(Instant now);
-    void tellClosedTargets(const Command &command);
-    void targetHeard(TargetId target, Instant now);
+    void markUnresponsiveTargets(Instant now);
+    void updateClosedTargets(const Command &command);
+    void markResponsive(TargetId target, Instant now);
     void releaseTasks(const std::vector<TaskId> &tasks);
-    void loseEntry(const InstanceId &entry);
+    void reassignAttemptsOf(const InstanceId &entry);
 
-    void hold(HeldSync sync);
+    void holdSync(HeldSync sync);
     void answerSyncs();
     SyncReply syncReply(const SyncRequest &request) const;
     void refreshPolicy();
@@ -163,9 +169,9 @@
     EventLoop loop;
     EntryTable entryTable;
 
-    // Only the loop's thread touches what follows.
+    // The members below are accessed on the loop's thread only.
     bool leading = false;
-    std::shared_ptr<bool> term = std::make_shared<bool>(false); ///< false once it is over
+    std::shared_ptr<bool> termActive = std::make_shared<bool>(false); ///< until the term ends
     Instant nextSweep{};
     CommandPipeline pipeline;
     SchedulerFeed feed;
@@ -174,18 +180,18 @@
     std::uint64_t nextTaskValue = 0;
     std::uint64_t policyVersion = 0;
     TargetLeases leases;
-    TargetLeases hearing; ///< when a target that is not heard again becomes quiet
-    std::set<TargetId> quietTargets;
+    TargetLeases heartbeatDeadlines; ///< after which a target is unresponsive
+    std::set<TargetId> unresponsiveTargets;
     JobWaiters waiters;
     OrderOutbox outbox;
     std::map<PendingKey, PendingSubmit> submits;
     std::map<JobId, PendingKey> submitsByJob;
-    std::set<TaskId> startedByReply; ///< whose Start went out with the answer to their submit
+    std::set<TaskId> startedByReply; ///< whose Start order is sent with the reply to their submit
     std::multimap<Instant, JobId> finishDeadlines;
     std::vector<HeldSync> syncs;
     std::vector<SchedulerFeed::Refused> refusedTasks;
     std::deque<std::pair<Instant, JobId>> finishedJobs;
-    std::set<JobId> toldFinished; ///< those in finishedJobs whose waiting has been observed
+    std::set<JobId> reportedJobs; ///< jobs in finishedJobs, whose waiting time has been reported
 };
 
 } // namespace guavavalve
--- a/src/controller/cellcontrollerplace.cpp
+++ b/src/controller/cellcontrollerplace.cpp
@@ -23,13 +23,13 @@
             this->refuse(decision);
             break;
         case DecisionKind::Throttle:
-            this->orderMakingRoom(decision, DispatchAction::Throttle);
+            this->orderPreemption(decision, DispatchAction::Throttle);
             break;
         case DecisionKind::Checkpoint:
-            this->orderMakingRoom(decision, DispatchAction::Checkpoint);
+            this->orderPreemption(decision, DispatchAction::Checkpoint);
             break;
         case DecisionKind::Stop:
-            this->orderMakingRoom(decision, DispatchAction::Stop);
+            this->orderPreemption(decision, DispatchAction::Stop);
             break;
         }
     }
@@ -38,7 +38,7 @@
 
 void CellController::proposePlacements(const std::vector<Decision> &decisions)
 {
-    // A gang's placements stand next to each other and are committed together.
+    // The placements of a gang are adjacent and are committed together.
     for (std::size_t first = 0; first < decisions.size();) {
         const JobId job = this->gangOf(decisions[first].task);
         std::size_t last = first + 1;
@@ -50,18 +50,18 @@
         for (std::size_t i = first; i < last; ++i)
             gang.places.push_back(this->placement(decisions[i]));
         Command command = job == JobId::None ? Command(gang.places.front()) : Command(gang);
-        this->add(std::move(command),
-                  [this, places = gang.places](const Result<CommandValue> &outcome) {
-                      for (const PlaceTask &place : places)
-                          this->placementCommitted(place, outcome);
-                  });
+        this->enqueue(std::move(command),
+                      [this, places = gang.places](const Result<CommandValue> &outcome) {
+                          for (const PlaceTask &place : places)
+                              this->placementCommitted(place, outcome);
+                      });
         first = last;
     }
 }
 
 JobId CellController::gangOf(TaskId task) const
 {
-    // A job that is accepted in the same round is not in the state yet.
+    // A job accepted in the same round is not in the replicated state yet.
     if (const PendingSubmit *submit = this->pendingOf(task))
         return submit->request.workClass == WorkClass::Gang ? submit->job : JobId::None;
     return this->state.read([&](const ClusterState &cluster) {
@@ -92,11 +92,12 @@
     const Instant now = this->options.clock();
     place.dispatcher = this->entryTable.pick(preferred, now);
     if (place.dispatcher.empty()) {
-        // A new controller may place before any entry's heartbeat has reached it. Without a
-        // dispatcher the task would hold its place for ever; the entry that asked gets the order
-        // with its answer, and if it is not heard in time another one follows the attempt.
+        // A new controller may place tasks before it has received a heartbeat from any entry.
+        // Without a dispatcher the task would hold its place forever. The submitting entry gets
+        // the order with its reply; without a heartbeat from it in time, another entry follows the
+        // attempt.
         place.dispatcher = preferred;
-        this->entryTable.expect(preferred, now + this->options.entryTimeout);
+        this->entryTable.expectHeartbeat(preferred, now + this->options.entryTimeout);
     }
     return place;
 }
@@ -121,8 +122,8 @@
         const std::size_t position = job->position(place.task);
         if (job->tasks[position].state != TaskState::Placed)
             return;
-        // The submitting entry is answered with the order itself; in case that answer is lost,
-        // it is told later to follow the attempt, and finds out whether it began.
+        // The reply to the submitting entry contains the order itself. In case that reply is lost,
+        // the entry is later told to follow the attempt and finds out whether it has started.
         const bool inReply = this->startedByReply.erase(place.task) > 0;
         const DispatchAction action = inReply ? DispatchAction::Follow : DispatchAction::Start;
         const Instant sendAt = inReply ? now + this->options.orderRetry : now;
@@ -145,13 +146,13 @@
             command.job = job->id;
     });
     const JobId job = command.job;
-    this->add(std::move(command), [this, job](const Result<CommandValue> &outcome) {
+    this->enqueue(std::move(command), [this, job](const Result<CommandValue> &outcome) {
         if (outcome && this->leading)
             this->jobChanged(job);
     });
 }
 
-void CellController::orderMakingRoom(const Decision &decision, DispatchAction action)
+void CellController::orderPreemption(const Decision &decision, DispatchAction action)
 {
     const Instant now = this->options.clock();
     this->state.read([&](const ClusterState &cluster) {
@@ -175,18 +176,18 @@
     command.answerDigest = end.answerDigest;
     command.message = end.message;
     command.endedAt = this->options.cellTime();
-    this->add(std::move(command), [this, end, done](const Result<CommandValue> &outcome) {
+    this->enqueue(std::move(command), [this, end, done](const Result<CommandValue> &outcome) {
         if (!outcome) {
             done(outcome.error());
             return;
         }
         done(Nothing());
         if (this->leading)
-            this->attemptOver(end.task, end.outcome);
+            this->handleAttemptEnd(end.task, end.outcome);
     });
 }
 
-void CellController::attemptOver(TaskId task, AttemptOutcome outcome)
+void CellController::handleAttemptEnd(TaskId task, AttemptOutcome outcome)
 {
     const Instant now = this->options.clock();
     JobId job = JobId::None;
@@ -198,7 +199,7 @@
         }
     });
     if (taskState == TaskState::Placed)
-        return; // a resend about an older attempt
+        return; // a repeated report about an earlier attempt
     this->outbox.drop(task);
     if (taskState == TaskState::Waiting)
         this->scheduler->requeue(task, outcome, now);
@@ -214,7 +215,7 @@
     for (auto &[entry, orders] : due) {
         const std::string address = this->entryTable.address(entry);
         if (address.empty())
-            continue; // not heard yet, or dead: then the attempt is given to another entry
+            continue; // no heartbeat yet, or dead: then the attempt is assigned to another entry
         std::vector<DispatchOrder> headers = orders;
         for (DispatchOrder &header : headers)
             header.payload.clear();
--- a/src/controller/cellcontrollersubmit.cpp
+++ b/src/controller/cellcontrollersubmit.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// What the team's section, or else the cell's, says of requests that name no deadline.
+/// The start deadline of requests that give none: from the team's section, or else the cell's.
 std::int64_t defaultStartWithinMs(const ClusterState &cluster, const SubmitRequest &request)
 {
     const TeamSection *team = cluster.configuration().team(request.team);
-    const std::int64_t ofTeam =
+    const std::int64_t teamDefault =
         team == nullptr ? 0 : team->classPolicy(request.workClass).startWithinMs;
-    if (ofTeam != 0)
-        return ofTeam;
+    if (teamDefault != 0)
+        return teamDefault;
     return cluster.configuration().cell().classPolicy(request.workClass).startWithinMs;
 }
 
@@ -32,12 +32,12 @@
     if (pending->second.request.digest == request.digest)
         pending->second.waiting.push_back(done);
     else
-        done(failure(ErrorCode::Conflict, "the idempotency key stands for another request"));
+        done(failure(ErrorCode::Conflict, "the idempotency key belongs to a different request"));
     return true;
 }
 
-/// Guards against a job of so many tasks that queueing them holds up everyone else: the state
-/// would refuse it too, but only after every one had been queued here.
+/// Refuses a job with too many tasks before any is queued. The replicated state would refuse it
+/// too, but only after all its tasks had been queued here, which would block all other requests.
 Result<CellController::Submitter> CellController::submitterOf(const SubmitRequest &request) const
 {
     return this->state.read([&](const ClusterState &cluster) -> Result<Submitter> {
@@ -46,10 +46,10 @@
             return failure(ErrorCode::PermissionDenied,
                            "team " + request.team + " has no section in the configuration");
         }
-        const std::int64_t most = cluster.configuration().cell().maxTasksPerJob;
-        if (request.tasks == 0 || request.tasks > most) {
+        const std::int64_t maxTasks = cluster.configuration().cell().maxTasksPerJob;
+        if (request.tasks == 0 || request.tasks > maxTasks) {
             return failure(ErrorCode::InvalidArgument,
-                           "a job has 1 to " + std::to_string(most) + " tasks, not "
+                           "a job has 1 to " + std::to_string(maxTasks) + " tasks, not "
                                + std::to_string(request.tasks));
         }
         Submitter submitter;
@@ -112,7 +112,7 @@
         Result<void> taken = this->scheduler->submit(task, pending.time.now);
         if (taken)
             continue;
-        // All of a job or none: nothing of it has been proposed yet.
+        // A job is queued completely or not at all; nothing of it has been proposed yet.
         for (std::uint32_t j = 0; j < i; ++j) {
             this->scheduler->cancel(static_cast<TaskId>(idValue(pending.job) + j),
                                     pending.time.now);
@@ -144,7 +144,7 @@
         command.finishBy = submit.time.cellMs + request.finishWithinMs;
     command.payload = request.payload;
     command.entry = request.entry;
-    this->add(std::move(command), [this, key](const Result<CommandValue> &outcome) {
+    this->enqueue(std::move(command), [this, key](const Result<CommandValue> &outcome) {
         this->acceptanceCommitted(key, outcome);
     });
 }
@@ -166,8 +166,9 @@
             this->scheduler->cancel(static_cast<TaskId>(idValue(submit.job) + i), now);
     }
     if (accepted == nullptr) {
-        const Error error =
-            outcome ? failure(ErrorCode::Internal, "not a job's acceptance") : outcome.error();
+        const Error error = outcome
+            ? failure(ErrorCode::Internal, "the command's outcome is not a job's acceptance")
+            : outcome.error();
         for (const auto &done : submit.waiting)
             done(error);
         return;
@@ -180,7 +181,7 @@
     for (std::size_t i = 0; i < submit.waiting.size(); ++i) {
         SubmitReply own = reply;
         if (i > 0) {
-            // One sender only: whoever joined asks for the job's end instead.
+            // Only one entry may start the attempts. The others wait for the job's end instead.
             own.joined = true;
             own.dispatches.clear();
         }
@@ -228,7 +229,7 @@
     CancelJob command;
     command.job = job;
     command.cancelledAt = this->options.cellTime();
-    this->add(command, [this, team, job, done](const Result<CommandValue> &outcome) {
+    this->enqueue(command, [this, team, job, done](const Result<CommandValue> &outcome) {
         if (!outcome) {
             done(outcome.error());
             return;
--- a/src/controller/cellcontrollersync.cpp
+++ b/src/controller/cellcontrollersync.cpp
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-void CellController::hold(HeldSync sync)
+void CellController::holdSync(HeldSync sync)
 {
     const Instant now = this->options.clock();
     EntryInfo entry;
@@ -17,7 +17,7 @@
     entry.holdsReplica = sync.request.holdsReplica;
     entry.configurationVersion = sync.request.heldVersion;
     entry.deadAt = now + this->options.entryTimeout + Milliseconds(sync.request.waitMs);
-    this->entryTable.heard(entry);
+    this->entryTable.recordHeartbeat(entry);
     this->syncs.push_back(std::move(sync));
     this->answerSyncs();
 }
@@ -27,16 +27,16 @@
     const Instant now = this->options.clock();
     const std::uint64_t version = this->state.read(
         [](const ClusterState &cluster) { return cluster.configuration().version(); });
-    std::vector<HeldSync> staying;
+    std::vector<HeldSync> remaining;
     std::vector<HeldSync> answered;
     for (HeldSync &sync : this->syncs) {
         const bool due = sync.deadline <= now || sync.request.heldVersion != version;
-        (due ? answered : staying).push_back(std::move(sync));
+        (due ? answered : remaining).push_back(std::move(sync));
     }
-    this->syncs = std::move(staying);
+    this->syncs = std::move(remaining);
     for (const HeldSync &sync : answered) {
-        // Without a quorum this controller may have been deposed: an answer from it would keep
-        // an old configuration in force.
+        // Without a quorum this controller may have been superseded, and its reply would extend the
+        // lease on an outdated configuration.
         if (!this->log.holdsLeaderLease())
             sync.done(failure(ErrorCode::Unavailable, "the controller has no quorum"));
         else
@@ -80,11 +80,11 @@
             command.message = waiting.error.message;
             command.retryAfterMs = waiting.error.retryAfter.count();
             command.refusedAt = now.cellMs;
-            this->add(std::move(command),
-                      [this, job = waiting.job](const Result<CommandValue> &outcome) {
-                          if (outcome && this->leading)
-                              this->jobChanged(job);
-                      });
+            this->enqueue(std::move(command),
+                          [this, job = waiting.job](const Result<CommandValue> &outcome) {
+                              if (outcome && this->leading)
+                                  this->jobChanged(job);
+                          });
             continue;
         }
         const auto request = this->state.read([&](const ClusterState &cluster) {
--- a/src/controller/cellcontrollertargets.cpp
+++ b/src/controller/cellcontrollertargets.cpp
@@ -36,18 +36,18 @@
 void CellController::acceptAnnouncements(std::vector<Announcement> announcements,
                                          const Done<std::vector<AnnouncementReply>> &done)
 {
-    // The replies go out together, once every registration among them is committed.
+    // The replies are sent together, once every registration among them is committed.
     struct Gathered
     {
         std::vector<Announcement> announcements;
-        std::size_t missing = 1;
+        std::size_t outstanding = 1;
         Done<std::vector<AnnouncementReply>> done;
     };
     auto gathered = std::make_shared<Gathered>();
     gathered->announcements = std::move(announcements);
     gathered->done = done;
     const auto finishOne = [this, gathered] {
-        if (--gathered->missing > 0)
+        if (--gathered->outstanding > 0)
             return;
         if (!this->leading || !this->log.holdsLeaderLease()) {
             gathered->done(this->notLeader());
@@ -61,18 +61,18 @@
     for (const Announcement &announcement : gathered->announcements) {
         if (!this->needsRegistration(announcement))
             continue;
-        ++gathered->missing;
+        ++gathered->outstanding;
         const std::vector<TaskId> before = this->state.read([&](const ClusterState &cluster) {
             const TargetRecord *known = cluster.targetNamed(announcement.name);
             return known == nullptr ? std::vector<TaskId>() : known->tasks;
         });
-        this->add(this->registration(announcement),
-                  [this, before, name = announcement.name,
-                   finishOne](const Result<CommandValue> &outcome) {
-                      if (outcome && this->leading)
-                          this->targetRegistered(name, before);
-                      finishOne();
-                  });
+        this->enqueue(this->registration(announcement),
+                      [this, before, name = announcement.name,
+                       finishOne](const Result<CommandValue> &outcome) {
+                          if (outcome && this->leading)
+                              this->targetRegistered(name, before);
+                          finishOne();
+                      });
     }
     finishOne();
 }
@@ -103,7 +103,7 @@
         const TargetRecord *target = cluster.targetNamed(announcement.name);
         if (target == nullptr || target->lapsed
             || target->incarnation != announcement.incarnation) {
-            return; // no lease: the target has to come back with a new incarnation
+            return; // no lease: the target has to register with a new incarnation
         }
         const CellSection &cell = cluster.configuration().cell();
         reply.target = target->id;
@@ -120,15 +120,15 @@
     if (reply.leaseMs > 0) {
         const Instant now = this->options.clock();
         this->leases.renew(reply.target, now + Milliseconds(reply.leaseMs) + margin);
-        this->targetHeard(reply.target, now);
+        this->markResponsive(reply.target, now);
     }
     return reply;
 }
 
-void CellController::targetHeard(TargetId target, Instant now)
+void CellController::markResponsive(TargetId target, Instant now)
 {
-    this->hearing.renew(target, now + this->options.targetQuietAfter);
-    if (this->quietTargets.erase(target) == 0)
+    this->heartbeatDeadlines.renew(target, now + this->options.targetUnresponsiveAfter);
+    if (this->unresponsiveTargets.erase(target) == 0)
         return;
     const TargetInfo info = this->state.read([&](const ClusterState &cluster) {
         return this->feed.targetInfo(*cluster.target(target));
@@ -136,24 +136,24 @@
     this->scheduler->targetChanged(info, now);
 }
 
-/// Guards against new work for a target that has fallen silent. Its lease has to outlast a change
-/// of controller, or every such change would end all work of the fleet; that is too long to go on
-/// sending prompt requests to it.
-void CellController::quietenTargets(Instant now)
+/// Stops placing tasks on targets that no longer send announcements, before their leases expire.
+/// Leases have to outlast a change of controller, or every such change would end all tasks of the
+/// fleet; that is too long to keep sending prompt requests to an unresponsive target.
+void CellController::markUnresponsiveTargets(Instant now)
 {
-    for (const TargetId id : this->hearing.takeLapsed(now)) {
+    for (const TargetId id : this->heartbeatDeadlines.takeLapsed(now)) {
         TargetInfo info;
-        const bool mayBeQuiet = this->state.read([&](const ClusterState &cluster) {
+        const bool isRegistered = this->state.read([&](const ClusterState &cluster) {
             const TargetRecord *target = cluster.target(id);
             if (target == nullptr || target->lapsed)
                 return false;
             info = this->feed.targetInfo(*target);
             return true;
         });
-        if (!mayBeQuiet)
+        if (!isRegistered)
             continue;
         info.departing = true;
-        this->quietTargets.insert(id);
+        this->unresponsiveTargets.insert(id);
         this->scheduler->targetChanged(info, now);
     }
 }
@@ -174,9 +174,9 @@
         });
         if (!known)
             continue;
-        this->quietTargets.erase(id);
+        this->unresponsiveTargets.erase(id);
         this->scheduler->targetLost(id, now);
-        this->add(command, [this, tasks](const Result<CommandValue> &outcome) {
+        this->enqueue(command, [this, tasks](const Result<CommandValue> &outcome) {
             if (outcome && this->leading)
                 this->releaseTasks(tasks);
         });
@@ -186,10 +186,10 @@
 void CellController::releaseTasks(const std::vector<TaskId> &tasks)
 {
     for (const TaskId task : tasks)
-        this->attemptOver(task, AttemptOutcome::Lost);
+        this->handleAttemptEnd(task, AttemptOutcome::Lost);
 }
 
-void CellController::loseEntry(const InstanceId &entry)
+void CellController::reassignAttemptsOf(const InstanceId &entry)
 {
     const Instant now = this->options.clock();
     std::vector<ReassignDispatcher> commands;
@@ -211,11 +211,12 @@
     });
     for (ReassignDispatcher &command : commands) {
         if (command.entry.empty()) {
-            // Nobody is left to ask the target. Who comes back first will be asked.
-            this->entryTable.expect(entry, now + this->options.entryTimeout);
+            // No entry is left to follow the attempts. They are assigned again after another
+            // timeout, to an entry that is alive by then.
+            this->entryTable.expectHeartbeat(entry, now + this->options.entryTimeout);
             return;
         }
-        this->add(command, [this, command](const Result<CommandValue> &outcome) {
+        this->enqueue(command, [this, command](const Result<CommandValue> &outcome) {
             if (!outcome || !this->leading)
                 return;
             this->state.read([&](const ClusterState &cluster) {
--- a/src/controller/cellstatus.h
+++ b/src/controller/cellstatus.h
@@ -13,14 +13,14 @@
 
 namespace guavavalve {
 
-/// A team, its part of the cell and what it uses of it.
+/// A team's entitlement to the cell's resources and its current use of them.
 struct TeamSummary
 {
     std::string team;
-    double share = 0.0; ///< its weight among the teams when the cell is full
-    double entitled = 0.0; ///< that weight as a fraction of the cell, 0 to 1
-    double inUse = 0.0; ///< dominant share of the cell that its placed tasks take, 0 to 1
-    Resources limit; ///< upper limit; a negative amount: none
+    double share = 0.0; ///< weight relative to the other teams when the cell is full
+    double entitled = 0.0; ///< fraction of the cell that the weight entitles it to, 0 to 1
+    double inUse = 0.0; ///< dominant share of the cell that its placed tasks use, 0 to 1
+    Resources limit; ///< upper limit; a negative amount means no limit
     Resources placed;
     std::uint64_t waiting = 0; ///< tasks
 
@@ -52,13 +52,13 @@
     {}
 };
 
-/// Tasks of one team and class that wait, and why the first of them does.
+/// The waiting tasks of one team and work class.
 struct WaitingSummary
 {
     std::string team;
     WorkClass workClass = WorkClass::Prompt;
     std::uint64_t tasks = 0;
-    std::string reason;
+    std::string reason; ///< why the first of them waits
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -67,7 +67,7 @@
     }
 };
 
-/// How many targets are in one state.
+/// The number of targets in one state.
 struct TargetCount
 {
     std::string state; ///< as in TargetSummary
@@ -80,17 +80,18 @@
     }
 };
 
-/// The whole cell at a glance.
+/// A summary of the whole cell.
 struct CellStatus
 {
     ReplicaStatus replicas;
     std::uint64_t configurationVersion = 0;
-    std::vector<std::string> behind; ///< instances without the newest configuration
+    /// Instances without the newest configuration or without a lease on it.
+    std::vector<std::string> behind;
     std::vector<TargetCount> targets;
     std::vector<std::string> quarantined; ///< names of targets
     std::vector<TeamSummary> teams;
     std::vector<WaitingSummary> waiting;
-    double packing = 0.0; ///< dominant share of the ready targets that is placed, 0 to 1
+    double packing = 0.0; ///< dominant share of the ready targets that placed tasks use, 0 to 1
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/clusterstatemachine.cpp
+++ b/src/controller/clusterstatemachine.cpp
@@ -16,7 +16,7 @@
 {
     const Result<CommandBatch> batch = decodeBatch(command);
     if (!batch) {
-        // Every replica holds the same bytes, so each rejects them alike.
+        // Every replica reads the same bytes, so all of them reject the command in the same way.
         return encodeOutcomes({CommandOutcome(batch.error())});
     }
     const std::unique_lock lock(this->mutex);
--- a/src/controller/clusterstatemachine.h
+++ b/src/controller/clusterstatemachine.h
@@ -9,18 +9,18 @@
 
 namespace guavavalve {
 
-/// Puts the replicated log in front of the cluster's state, and lets many read it at once.
+/// Applies the commands of the replicated log to the ClusterState and allows concurrent reads.
 class ClusterStateMachine : public StateMachine
 {
 public:
     explicit ClusterStateMachine(std::uint8_t shard = 0);
 
-    /// \sa encodeOutcomes for the bytes returned.
+    /// Returns the encoded outcomes. \sa encodeOutcomes
     std::string apply(LogIndex index, const std::string &command) override;
     std::string takeSnapshot() override;
     Result<void> restoreSnapshot(const std::string &snapshot) override;
 
-    /// Calls \a reader with the state held still. The reader must not block.
+    /// Calls \a reader under a shared lock on the state. The reader must not block.
     template<typename Reader>
     auto read(Reader &&reader) const
     {
--- a/src/controller/commandpipeline.cpp
+++ b/src/controller/commandpipeline.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What a command brings into an entry beyond its fixed fields.
+/// Bytes that a command adds to a log entry beyond its fields of bounded size.
 std::size_t variableBytes(const Command &command)
 {
     if (const auto *job = std::get_if<AcceptJob>(&command))
@@ -74,7 +74,8 @@
         else if (i < decoded.value().size())
             handlers[i](decoded.value()[i]);
         else
-            handlers[i](failure(ErrorCode::Internal, "the log gave too few outcomes"));
+            handlers[i](
+                failure(ErrorCode::Internal, "the log returned fewer outcomes than commands"));
     }
 }
 
--- a/src/controller/commandpipeline.h
+++ b/src/controller/commandpipeline.h
@@ -12,8 +12,9 @@
 
 class ReplicatedLog;
 
-/// Gathers the commands of a round into as few log entries as their size allows, and hands each
-/// its own outcome. Used by the controller's loop alone; outcomes come back through \a post.
+/// Batches the commands of one event loop round into as few log entries as the size limits allow,
+/// and passes each command its own outcome. Used on the controller's loop only; outcomes are
+/// delivered through the Post function.
 class CommandPipeline
 {
 public:
@@ -21,10 +22,10 @@
 
     CommandPipeline(ReplicatedLog &log, std::uint8_t shard, Post post);
 
-    /// Adds \a command to the round. \a done runs on the loop, in the order of the log.
+    /// Adds \a command to the current batch. \a done runs on the loop, in log order.
     void add(Command command, Done<CommandValue> done);
 
-    /// Proposes what the round has gathered.
+    /// Proposes the current batch to the log.
     void flush();
 
     bool empty() const { return this->batch.commands.empty(); }
--- a/src/controller/configurationfollower.cpp
+++ b/src/controller/configurationfollower.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr Milliseconds askLimit{1500};
-constexpr Milliseconds pauseAfterError{100};
+constexpr Milliseconds syncTimeout{1500};
+constexpr Milliseconds retryDelay{100};
 
 } // namespace
 
@@ -23,7 +23,7 @@
 
 void ConfigurationFollower::start()
 {
-    this->ask();
+    this->sendRequest();
 }
 
 void ConfigurationFollower::stop()
@@ -49,24 +49,24 @@
         return token.error();
     const std::shared_lock lock(this->mutex);
     if (this->options.clock() >= this->leaseEnd)
-        return noLease();
+        return noLeaseError();
     const KeyRecord *key = this->view.key(token.value().keyId);
     if (key == nullptr
         || !secretMatches(token.value(), this->options.clusterSecret, key->keyedHash)) {
-        return failure(ErrorCode::Unauthenticated, "the key is not known, or is withdrawn");
+        return failure(ErrorCode::Unauthenticated, "the key is unknown or has been withdrawn");
     }
     return *key;
 }
 
-Error ConfigurationFollower::noLease()
+Error ConfigurationFollower::noLeaseError()
 {
     Error error =
-        failure(ErrorCode::Unavailable, "this instance has lost touch with the controller");
+        failure(ErrorCode::Unavailable, "this instance has no contact with the controller");
     error.retryAfter = Milliseconds(1000);
     return error;
 }
 
-void ConfigurationFollower::ask()
+void ConfigurationFollower::sendRequest()
 {
     if (this->stopped)
         return;
@@ -75,29 +75,29 @@
     request.address = this->options.address;
     request.holdsReplica = this->options.holdsReplica;
     request.heldVersion = this->version();
-    request.waitMs = this->options.hold.count();
+    request.waitMs = this->options.maxReplyHold.count();
     const Instant sentAt = this->options.clock();
     this->controller.synchronise(
-        request, sentAt + askLimit,
+        request, sentAt + syncTimeout,
         [self = this->shared_from_this(), sentAt](const Result<SyncReply> &reply) {
-            self->answered(sentAt, reply);
+            self->replyReceived(sentAt, reply);
         });
 }
 
-void ConfigurationFollower::answered(Instant sentAt, const Result<SyncReply> &reply)
+void ConfigurationFollower::replyReceived(Instant sentAt, const Result<SyncReply> &reply)
 {
-    bool taken = false;
+    bool applied = false;
     if (reply) {
         const auto changes = decodeChanges(reply.value().changes);
         const std::unique_lock lock(this->mutex);
-        taken = changes && this->view.applyChanges(changes.value());
-        if (taken)
+        applied = changes && this->view.applyChanges(changes.value());
+        if (applied)
             this->leaseEnd = sentAt + Milliseconds(reply.value().leaseMs);
     }
     if (this->stopped)
         return;
-    this->options.delay(taken ? Milliseconds(1) : pauseAfterError,
-                        [self = this->shared_from_this()] { self->ask(); });
+    this->options.delay(applied ? Milliseconds(1) : retryDelay,
+                        [self = this->shared_from_this()] { self->sendRequest(); });
 }
 
 } // namespace guavavalve
--- a/src/controller/configurationfollower.h
+++ b/src/controller/configurationfollower.h
@@ -17,12 +17,13 @@
 
 class RemoteController;
 
-/// Keeps an entry's copy of the configuration and the keys in force, under a lease that the
-/// controller renews. Thread safe.
+/// Keeps an entry's copy of the configuration and of the valid keys up to date, under a lease that
+/// the controller renews. Thread safe.
 ///
-/// Guards against an entry that goes on by an old configuration, which would show as a withdrawn
-/// key that still works. The lease is counted from when the request was sent and checked by the
-/// monotonic clock at each use: an entry that is cut off, or was frozen and wakes, refuses.
+/// The lease prevents an entry from serving requests under an outdated configuration, for example
+/// from accepting a withdrawn key. It is counted from the time the request was sent and is checked
+/// against the monotonic clock at each use, so an entry that is partitioned, or that resumes after
+/// its process was suspended, refuses requests.
 class ConfigurationFollower : public std::enable_shared_from_this<ConfigurationFollower>
 {
 public:
@@ -30,11 +31,12 @@
     {
         InstanceId instance;
         std::string address; ///< "ip:port" of this instance's messenger
-        std::string clusterSecret; ///< to check keys with
-        bool holdsReplica = false; ///< this instance has a data folder
+        std::string clusterSecret; ///< used to verify keys
+        bool holdsReplica = false; ///< this instance has a data folder, so it can host a replica
         Clock clock = monotonicNow;
         std::function<void(Milliseconds, std::function<void()>)> delay;
-        Milliseconds hold{300}; ///< how long the controller may hold back an empty answer
+        /// How long the controller may hold back a reply without changes.
+        Milliseconds maxReplyHold{300};
     };
 
     ConfigurationFollower(Options options, RemoteController &controller);
@@ -42,19 +44,19 @@
     void start();
     void stop();
 
-    /// True while the controller's answer may be served by.
+    /// True while requests may be served under this configuration.
     bool holdsLease() const;
 
     std::uint64_t version() const;
 
-    /// The key that \a bearer, a token as its holder shows it, belongs to.
-    /// \errors Unauthenticated; Unavailable, ran no, without a lease.
+    /// The key that the bearer token \a bearer belongs to.
+    /// \errors Unauthenticated; Unavailable, with Ran::No, without a lease.
     Result<KeyRecord> identify(const std::string &bearer) const;
 
-    /// The refusal of an instance without a lease.
-    static Error noLease();
+    /// The error that an instance without a lease returns.
+    static Error noLeaseError();
 
-    /// Calls \a reader with the configuration held still.
+    /// Calls \a reader under a shared lock on the configuration.
     template<typename Reader>
     auto read(Reader &&reader) const
     {
@@ -63,8 +65,8 @@
     }
 
 private:
-    void ask();
-    void answered(Instant sentAt, const Result<SyncReply> &reply);
+    void sendRequest();
+    void replyReceived(Instant sentAt, const Result<SyncReply> &reply);
 
     Options options;
     RemoteController &controller;
--- a/src/controller/configurationrequests.h
+++ b/src/controller/configurationrequests.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// One section of the configuration document as it is in force.
+/// One version of a section of the configuration document.
 struct ConfigurationSection
 {
     std::string name;
@@ -25,10 +25,10 @@
     }
 };
 
-/// The configuration document, or the sections of it that were asked for.
+/// The configuration document, or the requested sections of it.
 struct ConfigurationDocument
 {
-    std::uint64_t version = 0; ///< grows with each accepted write of any section
+    std::uint64_t version = 0; ///< increases with each accepted write of any section
     std::vector<ConfigurationSection> sections;
 
     template<typename Archive>
@@ -38,11 +38,11 @@
     }
 };
 
-/// Asks for the document.
+/// Requests the configuration document.
 struct ShowConfigurationRequest
 {
     using Reply = ConfigurationDocument;
-    std::string section; ///< empty: all of them
+    std::string section; ///< empty: all sections
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -51,7 +51,7 @@
     }
 };
 
-/// A section as its owner would have it.
+/// Proposed new content of a section.
 struct SectionDraft
 {
     std::string name;
@@ -64,7 +64,7 @@
     }
 };
 
-/// A fault that a check of the document found.
+/// An error found by a check of the document.
 struct ConfigurationProblem
 {
     std::string path; ///< in the document, as "section/field/..."
@@ -77,11 +77,11 @@
     }
 };
 
-/// A value that accepting the drafts would change.
+/// A value that would change if the drafts were accepted.
 struct ConfigurationDifference
 {
     std::string path;
-    std::string before; ///< JSON text; empty: not there
+    std::string before; ///< JSON text; empty: absent
     std::string after; ///< JSON text; empty: removed
 
     template<typename Archive>
@@ -91,7 +91,7 @@
     }
 };
 
-/// The outcome of CheckConfigurationRequest: acceptable if there are no problems.
+/// The outcome of a CheckConfigurationRequest. The drafts are acceptable if there are no problems.
 struct ConfigurationCheck
 {
     std::vector<ConfigurationProblem> problems;
@@ -104,8 +104,8 @@
     }
 };
 
-/// Checks drafts together with the rest of the document, and previews what they would change.
-/// Changes nothing.
+/// Validates drafts together with the rest of the document and previews their changes, without
+/// applying them.
 struct CheckConfigurationRequest
 {
     using Reply = ConfigurationCheck;
@@ -118,12 +118,12 @@
     }
 };
 
-/// The outcome of an accepted WriteSectionRequest.
+/// The reply to an accepted WriteSectionRequest.
 struct SectionWritten
 {
     std::uint64_t version = 0; ///< the section's new version
     std::uint64_t documentVersion = 0;
-    bool repeated = false; ///< the same request had been accepted before; nothing changed now
+    bool repeated = false; ///< the same request had been accepted before; nothing has changed
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -132,14 +132,14 @@
     }
 };
 
-/// Replaces a section, if it is still at \a baseVersion (compare and set).
-/// \errors Conflict, which names the version that is there and who wrote it.
+/// Replaces a section if it is still at \a baseVersion (compare-and-set).
+/// \errors Conflict, naming the current version and its author.
 struct WriteSectionRequest
 {
     using Reply = SectionWritten;
     SectionDraft draft;
-    std::uint64_t baseVersion = 0; ///< the version it replaces; 0: the first
-    std::string requestId; ///< a resend under the same identity gets the first one's outcome
+    std::uint64_t baseVersion = 0; ///< the version to be replaced; 0: never written
+    std::string requestId; ///< a resend with the same identity gets the first outcome
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -148,7 +148,7 @@
     }
 };
 
-/// The versions of one section that are kept, newest first.
+/// The retained versions of one section, newest first.
 struct SectionHistory
 {
     std::vector<ConfigurationSection> versions;
@@ -172,12 +172,12 @@
     }
 };
 
-/// What one instance has in force.
+/// The configuration version that is in force on one instance.
 struct InstanceConfiguration
 {
     std::string instance;
     std::uint64_t version = 0; ///< of the document
-    bool leased = false; ///< false: its lease has lapsed, it accepts no work
+    bool leased = false; ///< false: its lease has expired and it accepts no work
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -186,11 +186,11 @@
     }
 };
 
-/// Where the document's newest version is in force.
+/// Whether the newest version of the document is in force on all instances.
 struct ConfigurationInForce
 {
     std::uint64_t version = 0; ///< the newest accepted
-    bool everywhere = false; ///< every instance has it, or accepts no work
+    bool everywhere = false; ///< every instance has it in force or accepts no work
     std::vector<InstanceConfiguration> instances;
 
     template<typename Archive>
--- a/src/controller/configurationsync.h
+++ b/src/controller/configurationsync.h
@@ -7,14 +7,14 @@
 
 namespace guavavalve {
 
-/// An entry's heartbeat to the controller: who it is and what configuration it holds.
+/// An entry's heartbeat to the controller, with the configuration version that it holds.
 struct SyncRequest
 {
     InstanceId entry;
     std::string address; ///< "ip:port" of its messenger
-    bool holdsReplica = false; ///< has a data folder, so may take a lost replica's place
-    std::uint64_t heldVersion = 0; ///< of the document
-    std::int64_t waitMs = 0; ///< how long the reply may be held back when nothing differs
+    bool holdsReplica = false; ///< has a data folder, so it can replace a lost replica
+    std::uint64_t heldVersion = 0; ///< the document's version that the entry holds
+    std::int64_t waitMs = 0; ///< how long a reply without changes may be held back
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -23,10 +23,10 @@
     }
 };
 
-/// What differs, and a new lease on the configuration.
+/// The changes since SyncRequest::heldVersion, and a new lease on the configuration.
 struct SyncReply
 {
-    std::int64_t leaseMs = 0; ///< counted by the entry from when it sent the request
+    std::int64_t leaseMs = 0; ///< counted by the entry from the time it sent the request
     std::string changes; ///< see encodeChanges()
 
     template<typename Archive>
--- a/src/controller/controllerclient.h
+++ b/src/controller/controllerclient.h
@@ -12,27 +12,27 @@
 
 namespace guavavalve {
 
-/// How the packages of an instance reach the controller, wherever it is. Every call ends by its
-/// deadline. An error's Ran tells whether the request may have been taken.
+/// Interface to the controller, independent of the instance on which it runs. Every call completes
+/// by its deadline. An error's Ran tells whether the request may have been accepted.
 class ControllerClient
 {
 public:
     virtual ~ControllerClient() = default;
 
-    /// Hands in a job; the reply comes once its acceptance is committed.
+    /// Submits a job; the reply is sent once its acceptance is committed.
     virtual void submit(SubmitRequest request, Instant deadline, Done<SubmitReply> done) = 0;
 
-    /// Reports an attempt's end; the reply comes once it is committed.
+    /// Reports the end of an attempt; the reply is sent once the end is committed.
     virtual void attemptEnded(AttemptEnd end, Instant deadline, Done<Nothing> done) = 0;
 
-    /// Where \a job stands. With \a awaitEnd the reply comes when the job has finished, or at
-    /// the deadline with the state it has then.
+    /// The status of \a job. With \a awaitEnd the reply is sent when the job has finished, or at
+    /// the deadline with the status at that time.
     virtual void jobStatus(std::string team, JobId job, bool awaitEnd, Instant deadline,
                            Done<JobStatus> done) = 0;
 
     virtual void cancelJob(std::string team, JobId job, Instant deadline, Done<JobStatus> done) = 0;
 
-    /// Passes on announcements; replies in the same order.
+    /// Forwards announcements; the replies are in the same order.
     virtual void announce(std::vector<Announcement> announcements, Instant deadline,
                           Done<std::vector<AnnouncementReply>> done) = 0;
 };
--- a/src/controller/controllerlink.cpp
+++ b/src/controller/controllerlink.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool mayGoAgain(ErrorCode code)
+bool isRetryable(ErrorCode code)
 {
     return code == ErrorCode::NotLeader || code == ErrorCode::Unavailable
         || code == ErrorCode::DeadlineExceeded;
@@ -23,10 +23,10 @@
     Instant deadline;
     Done<std::string> done;
     bool mayHaveRun = false;
-    unsigned attempts = 0; ///< of these the last one counts, unless an earlier one succeeds
+    unsigned attempts = 0; ///< the last one decides, unless an earlier one succeeds
     bool isSettled = false;
     std::string address; ///< of the last attempt
-    Instant overdueAt{}; ///< when the last attempt is doubted
+    Instant unresponsiveAt{}; ///< when the last attempt counts as unresponsive
 };
 
 ControllerLink::ControllerLink(Messenger &messenger, std::vector<std::string> replicas, Delay delay,
@@ -42,7 +42,7 @@
     , limits(limits)
     , clock(std::move(clock))
 {
-    assert(!this->replicas.empty() && "name at least one replica's address");
+    assert(!this->replicas.empty() && "pass the address of at least one replica");
 }
 
 void ControllerLink::call(Method method, std::string payload, Instant deadline,
@@ -76,16 +76,16 @@
             return;
         attempt = ++call->attempts;
         call->address = address;
-        call->overdueAt = now + this->limits.unresponsiveAfter;
+        call->unresponsiveAt = now + this->limits.unresponsiveAfter;
     }
     const Instant limit = std::min(call->deadline, now + this->limits.attemptTimeout);
     this->messenger.call(
         address, call->method, call->payload, limit,
         [self = this->shared_from_this(), call, address, attempt](Result<std::string> reply) {
-            self->answered(call, address, attempt, std::move(reply));
+            self->replyReceived(call, address, attempt, std::move(reply));
         });
     if (this->limits.unresponsiveAfter.count() > 0)
-        this->watch(call, address, attempt);
+        this->monitor(call, address, attempt);
 }
 
 Ran ControllerLink::ranOf(const std::shared_ptr<Call> &call) const
@@ -94,30 +94,30 @@
     return call->mayHaveRun ? Ran::Unknown : Ran::No;
 }
 
-/// True for the first to settle the call.
+/// Marks the call as settled. Returns false if it was settled before.
 bool ControllerLink::settle(const std::shared_ptr<Call> &call)
 {
     const std::lock_guard lock(this->mutex);
-    this->underWay.erase(call);
+    this->inFlight.erase(call);
     return !std::exchange(call->isSettled, true);
 }
 
-void ControllerLink::answered(const std::shared_ptr<Call> &call, const std::string &address,
-                              unsigned attempt, Result<std::string> reply)
+void ControllerLink::replyReceived(const std::shared_ptr<Call> &call, const std::string &address,
+                                   unsigned attempt, Result<std::string> reply)
 {
-    const bool mayRepeat = !reply && mayGoAgain(reply.error().code);
+    const bool retryable = !reply && isRetryable(reply.error().code);
     {
         const std::lock_guard lock(this->mutex);
         const bool isLatest = attempt == call->attempts;
         if (call->isSettled || (!isLatest && !reply))
-            return; // another attempt decides
+            return; // settled, or left to the latest attempt
         if (reply && isLatest)
             this->leader = address;
-        call->mayHaveRun |= mayRepeat && reply.error().ran == Ran::Unknown;
+        call->mayHaveRun |= retryable && reply.error().ran == Ran::Unknown;
     }
-    if (mayRepeat) {
+    if (retryable) {
         const bool redirected = reply.error().code == ErrorCode::NotLeader;
-        this->suspect(address, redirected ? reply.error().message : std::string());
+        this->updateLeader(address, redirected ? reply.error().message : std::string());
         this->delay(this->limits.retryDelay,
                     [self = this->shared_from_this(), call] { self->attempt(call); });
         return;
@@ -126,39 +126,40 @@
         call->done(std::move(reply));
 }
 
-/// Guards against calls that wait out a try at a controller that is frozen or cut off: the others
-/// had a new one 0.3 to 0.6 s before, and nobody told the instances that callers reach.
-void ControllerLink::watch(const std::shared_ptr<Call> &call, const std::string &address,
-                           unsigned attempt)
+/// Monitors an attempt, so that a call does not wait for an attempt's timeout at a suspended or
+/// partitioned controller: the other replicas have a new controller 0.3 to 0.6 s earlier, but do
+/// not notify the instances that callers reach.
+void ControllerLink::monitor(const std::shared_ptr<Call> &call, const std::string &address,
+                             unsigned attempt)
 {
     {
         const std::lock_guard lock(this->mutex);
         if (call->isSettled)
-            return; // the answer was faster
-        this->underWay.insert(call);
+            return; // the reply arrived before this function was called
+        this->inFlight.insert(call);
     }
     this->delay(this->limits.unresponsiveAfter,
                 [self = this->shared_from_this(), call, address, attempt] {
                     {
                         const std::lock_guard lock(self->mutex);
                         const bool isOpen = !call->isSettled && call->attempts == attempt;
-                        if (!isOpen || std::exchange(self->isAsking, true))
+                        if (!isOpen || std::exchange(self->isProbing, true))
                             return;
                     }
-                    self->askOthers(address);
+                    self->probeOtherReplicas(address);
                 });
 }
 
-/// A call to \a address has been without an answer for too long.
-bool ControllerLink::isDoubted(const std::string &address) const
+/// Whether a call to \a address has been without a response for too long.
+bool ControllerLink::isUnresponsive(const std::string &address) const
 {
     const Instant now = this->clock();
-    return std::any_of(this->underWay.begin(), this->underWay.end(), [&](const auto &call) {
-        return call->address == address && now >= call->overdueAt;
+    return std::any_of(this->inFlight.begin(), this->inFlight.end(), [&](const auto &call) {
+        return call->address == address && now >= call->unresponsiveAt;
     });
 }
 
-void ControllerLink::askOthers(const std::string &doubted)
+void ControllerLink::probeOtherReplicas(const std::string &unresponsive)
 {
     std::vector<std::string> others;
     {
@@ -167,51 +168,55 @@
     }
     const Instant limit = this->clock() + this->limits.unresponsiveAfter;
     for (const std::string &other : others) {
-        if (other == doubted)
+        if (other == unresponsive)
             continue;
-        this->messenger.call(other, Method::FindLeader, {}, limit,
-                             [self = this->shared_from_this(), doubted](
-                                 const Result<std::string> &leads) { self->told(doubted, leads); });
+        this->messenger.call(
+            other, Method::FindLeader, {}, limit,
+            [self = this->shared_from_this(), unresponsive](const Result<std::string> &leads) {
+                self->leaderReported(unresponsive, leads);
+            });
     }
-    this->delay(this->limits.unresponsiveAfter, [self = this->shared_from_this(), doubted] {
+    this->delay(this->limits.unresponsiveAfter, [self = this->shared_from_this(), unresponsive] {
         {
             const std::lock_guard lock(self->mutex);
-            self->isAsking = self->isDoubted(doubted);
-            if (!self->isAsking)
+            self->isProbing = self->isUnresponsive(unresponsive);
+            if (!self->isProbing)
                 return;
         }
-        self->askOthers(doubted);
+        self->probeOtherReplicas(unresponsive);
     });
 }
 
-/// A replica follows another leader than the one that does not answer: what waits for that one
-/// goes to the new one at once, as it would after the try. An answer that still comes counts.
-void ControllerLink::told(const std::string &doubted, const Result<std::string> &leads)
+/// Handles a replica's reply about who leads. If it names another leader than the unresponsive one,
+/// the calls that wait there are sent to the new leader at once, without waiting for the attempt's
+/// timeout. A late reply to the earlier attempt is still accepted.
+void ControllerLink::leaderReported(const std::string &unresponsive,
+                                    const Result<std::string> &leads)
 {
-    if (!leads || leads.value().empty() || leads.value() == doubted)
+    if (!leads || leads.value().empty() || leads.value() == unresponsive)
         return;
-    std::vector<std::shared_ptr<Call>> moved;
+    std::vector<std::shared_ptr<Call>> affected;
     {
         const std::lock_guard lock(this->mutex);
-        for (const auto &call : this->underWay) {
-            if (call->address != doubted)
+        for (const auto &call : this->inFlight) {
+            if (call->address != unresponsive)
                 continue;
             call->mayHaveRun = true;
-            moved.push_back(call);
+            affected.push_back(call);
         }
-        if (moved.empty())
+        if (affected.empty())
             return;
         this->leader = leads.value();
     }
-    for (const auto &call : moved)
+    for (const auto &call : affected)
         this->attempt(call);
 }
 
-void ControllerLink::setReplicas(std::vector<std::string> known)
+void ControllerLink::setReplicas(std::vector<std::string> addresses)
 {
     const std::lock_guard lock(this->mutex);
-    if (!known.empty())
-        this->replicas = std::move(known);
+    if (!addresses.empty())
+        this->replicas = std::move(addresses);
 }
 
 std::string ControllerLink::controllerAddress() const
@@ -225,13 +230,13 @@
     const std::lock_guard lock(this->mutex);
     if (!this->leader.empty())
         return this->leader;
-    return this->replicas[this->turn++ % this->replicas.size()];
+    return this->replicas[this->nextReplica++ % this->replicas.size()];
 }
 
-void ControllerLink::suspect(const std::string &address, const std::string &leader)
+void ControllerLink::updateLeader(const std::string &address, const std::string &leader)
 {
     const std::lock_guard lock(this->mutex);
-    // Another call may have found the new controller meanwhile.
+    // Another call may have found the new controller in the meantime.
     if (this->leader.empty() || this->leader == address)
         this->leader = leader == address ? std::string() : leader;
 }
--- a/src/controller/controllerlink.h
+++ b/src/controller/controllerlink.h
@@ -14,23 +14,24 @@
 
 namespace guavavalve {
 
-/// Finds the controller among the replicas and carries calls to it. Thread safe.
+/// Locates the controller among the replicas and sends calls to it. Thread safe.
 ///
-/// Requests are safe to send twice (submits by idempotency key, ends by attempt, operators'
-/// changes by request identity), so a call whose reply was lost goes again until its deadline.
+/// Requests are idempotent (submits by idempotency key, ends by attempt, operators' changes by
+/// request identity), so a call whose reply was lost is retried until its deadline.
 class ControllerLink : public std::enable_shared_from_this<ControllerLink>
 {
 public:
-    /// Runs an action after a while; the daemon's timer.
+    /// Runs an action after a delay, on the daemon's timer.
     using Delay = std::function<void(Milliseconds, std::function<void()>)>;
 
     struct Limits
     {
-        /// One try's share of the deadline: long enough for an election to end meanwhile, short
-        /// enough that a controller that went silent is left in time.
+        /// Timeout of one attempt: long enough for an election to complete, short enough that
+        /// time is left to try another replica if the controller does not respond.
         Milliseconds attemptTimeout{1500};
         Milliseconds retryDelay{50};
-        /// Without an answer for this long the other replicas are asked who leads; zero: never.
+        /// When a call has had no response for this long, the other replicas are asked who leads;
+        /// zero disables this.
         Milliseconds unresponsiveAfter{0};
     };
 
@@ -40,29 +41,29 @@
     ControllerLink(Messenger &messenger, std::vector<std::string> replicas, Delay delay,
                    Limits limits, Clock clock);
 
-    /// Puts \a replicas in place of the addresses known before, where the group's members change.
+    /// Replaces the known addresses after a change of the group's members. Ignores an empty list.
     void setReplicas(std::vector<std::string> replicas);
-    /// Where the controller was last found; empty: not known.
+    /// The last known address of the controller; empty if unknown.
     std::string controllerAddress() const;
 
-    /// Calls the controller. \errors the controller's own; Unavailable if none was found by
-    /// \a deadline, with Ran::Unknown if the request may have been taken.
+    /// Calls the controller. \errors the controller's own; Unavailable if no controller answered
+    /// by \a deadline, with Ran::Unknown if the request may have been accepted.
     void call(Method method, std::string payload, Instant deadline, Done<std::string> done);
 
 private:
     struct Call;
 
     void attempt(const std::shared_ptr<Call> &call);
-    void answered(const std::shared_ptr<Call> &call, const std::string &address, unsigned attempt,
-                  Result<std::string> reply);
+    void replyReceived(const std::shared_ptr<Call> &call, const std::string &address,
+                       unsigned attempt, Result<std::string> reply);
     bool settle(const std::shared_ptr<Call> &call);
     Ran ranOf(const std::shared_ptr<Call> &call) const;
-    void watch(const std::shared_ptr<Call> &call, const std::string &address, unsigned attempt);
-    void askOthers(const std::string &doubted);
-    void told(const std::string &doubted, const Result<std::string> &leads);
-    bool isDoubted(const std::string &address) const;
+    void monitor(const std::shared_ptr<Call> &call, const std::string &address, unsigned attempt);
+    void probeOtherReplicas(const std::string &unresponsive);
+    void leaderReported(const std::string &unresponsive, const Result<std::string> &leads);
+    bool isUnresponsive(const std::string &address) const;
     std::string nextAddress();
-    void suspect(const std::string &address, const std::string &leader);
+    void updateLeader(const std::string &address, const std::string &leader);
 
     Messenger &messenger;
     std::vector<std::string> replicas;
@@ -70,10 +71,10 @@
     Limits limits;
     Clock clock;
     mutable std::mutex mutex;
-    std::string leader; ///< address; empty: not known
-    std::size_t turn = 0;
-    std::set<std::shared_ptr<Call>> underWay; ///< watched for doubt
-    bool isAsking = false; ///< the other replicas, who leads
+    std::string leader; ///< address; empty if unknown
+    std::size_t nextReplica = 0;
+    std::set<std::shared_ptr<Call>> inFlight; ///< calls whose response time is monitored
+    bool isProbing = false; ///< the other replicas are being asked who leads
 };
 
 } // namespace guavavalve
--- a/src/controller/controlleroptions.h
+++ b/src/controller/controlleroptions.h
@@ -16,29 +16,37 @@
 
 class Scheduler;
 
-/// What a CellController is given.
+/// Options and dependencies of a CellController.
 struct ControllerOptions
 {
     std::uint8_t shard = 0;
     Clock clock = monotonicNow;
-    /// Milliseconds since the epoch by the machine's calendar clock: for reports, retention and
-    /// deadlines that outlive a controller. No rule of safety uses it.
+    /// Milliseconds since the epoch by the machine's wall clock, for reports, retention and
+    /// deadlines that outlive a controller. No safety property depends on it.
     std::function<std::int64_t()> cellTime;
     std::function<std::unique_ptr<Scheduler>()> makeScheduler;
-    /// Sends orders to the entry at an address and tells when it has them.
+    /// Sends orders to the entry at an address and reports when the entry has received them.
     std::function<void(const std::string &address, std::vector<DispatchOrder>, Done<Nothing>)>
         sendOrders;
-    /// Told after each change of a job that may end someone's waiting; for metrics.
+    /// Called once for each finished job with the time from its acceptance to its first
+    /// placement, for metrics.
     std::function<void(const std::string &team, std::uint8_t workClass, double waitedSeconds)>
         observeWait;
 
-    Milliseconds entryTimeout{2000}; ///< an entry not heard for so long is taken for dead
-    Milliseconds configurationLease{2000}; ///< what an entry may serve by without a new answer
-    Milliseconds targetQuietAfter{3000}; ///< a target not heard for so long gets nothing new
-    Milliseconds orderRetry{1000}; ///< between sendings of an unacknowledged order
-    Milliseconds finishedRetention{600000}; ///< how long a finished job is remembered
-    std::size_t maxFinishedJobs = 100000; ///< remembered at once; the oldest are forgotten
-    std::size_t maxWaitingEvents = 100000; ///< beyond it requests are refused
+    /// An entry without a heartbeat for this long is considered dead.
+    Milliseconds entryTimeout{2000};
+    /// How long an entry may serve requests without a new sync.
+    Milliseconds configurationLease{2000};
+    /// A target without an announcement for this long gets no new tasks.
+    Milliseconds targetUnresponsiveAfter{3000};
+    /// Interval between resends of an unacknowledged order.
+    Milliseconds orderRetry{1000};
+    /// How long a finished job is kept.
+    Milliseconds finishedRetention{600000};
+    /// Number of finished jobs above which the oldest are removed.
+    std::size_t maxFinishedJobs = 100000;
+    /// Capacity of the event queue; requests beyond it are refused.
+    std::size_t maxWaitingEvents = 100000;
 };
 
 } // namespace guavavalve
--- a/src/controller/controllerservice.cpp
+++ b/src/controller/controllerservice.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Milliseconds operatorLimit{10000};
+constexpr Milliseconds operatorTimeout{10000};
 
 /// Serves \a method: decodes its request, and encodes what is handed to the reply.
 template<typename Request, typename Reply, typename Action>
@@ -72,7 +72,8 @@
     serve<OperatorRequest, OperatorReply>(
         messenger, Method::Operate,
         [&operators](OperatorRequest request, Done<OperatorReply> done) {
-            operators.operate(std::move(request), monotonicNow() + operatorLimit, std::move(done));
+            operators.operate(std::move(request), monotonicNow() + operatorTimeout,
+                              std::move(done));
         });
 }
 
--- a/src/controller/controllerservice.h
+++ b/src/controller/controllerservice.h
@@ -6,8 +6,8 @@
 class Messenger;
 class OperatorClient;
 
-/// Registers the entries' calls to \a controller with \a messenger; operators' questions go to
-/// \a operators. Done before the messenger starts; both must outlive it.
+/// Registers handlers with \a messenger that pass entries' requests to \a controller and operators'
+/// requests to \a operators. To be called before the messenger starts; both must outlive it.
 void serveController(Messenger &messenger, CellController &controller, OperatorClient &operators);
 
 } // namespace guavavalve
--- a/src/controller/dispatchhandler.h
+++ b/src/controller/dispatchhandler.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// What carries out the controller's orders on an entry. An order may arrive more than once.
+/// Carries out the controller's orders on an entry. An order may arrive more than once.
 class DispatchHandler
 {
 public:
--- a/src/controller/dispatchorder.h
+++ b/src/controller/dispatchorder.h
@@ -7,13 +7,13 @@
 
 namespace guavavalve {
 
-/// What an entry is to do about an attempt whose placement has been committed.
+/// What an entry must do about an attempt whose placement has been committed.
 enum class DispatchAction : std::uint8_t {
-    Start, ///< send the start, then wait for the end
-    Follow, ///< ask about the attempt; never send its start
-    Stop, ///< have the target end it, or refuse it for ever if it has not started
-    Throttle, ///< have the target slow the attempt down; it goes on
-    Checkpoint, ///< have the target save the attempt's progress and end it; ends as Stopped
+    Start, ///< start the attempt on its target, then wait for its end
+    Follow, ///< query the target about the attempt, but never start it
+    Stop, ///< have the target end the attempt, or never start it if it has not started
+    Throttle, ///< have the target slow the attempt down without ending it
+    Checkpoint, ///< have the target save the attempt's progress and end it as Stopped
 };
 
 /// A committed order from the controller to an entry.
--- a/src/controller/entrytable.cpp
+++ b/src/controller/entrytable.cpp
@@ -4,19 +4,19 @@
 
 namespace guavavalve {
 
-void EntryTable::heard(const EntryInfo &entry)
+void EntryTable::recordHeartbeat(const EntryInfo &entry)
 {
     const std::lock_guard lock(this->mutex);
     this->table[entry.instance] = entry;
 }
 
-void EntryTable::expect(const InstanceId &instance, Instant deadAt)
+void EntryTable::expectHeartbeat(const InstanceId &instance, Instant deadAt)
 {
-    EntryInfo unheard;
-    unheard.instance = instance;
-    unheard.deadAt = deadAt;
+    EntryInfo expected;
+    expected.instance = instance;
+    expected.deadAt = deadAt;
     const std::lock_guard lock(this->mutex);
-    this->table.try_emplace(instance, unheard);
+    this->table.try_emplace(instance, expected);
 }
 
 void EntryTable::clear()
--- a/src/controller/entrytable.h
+++ b/src/controller/entrytable.h
@@ -11,35 +11,37 @@
 
 namespace guavavalve {
 
-/// One entry instance as the controller knows it.
+/// The controller's record of one entry instance.
 struct EntryInfo
 {
     InstanceId instance;
-    std::string address; ///< "ip:port" of its messenger; empty until it has been heard
-    bool holdsReplica = false; ///< has a data folder, whether or not it is a member
-    std::uint64_t configurationVersion = 0; ///< that it has in force
-    Instant deadAt{}; ///< taken for dead when it has not been heard by then
+    std::string address; ///< "ip:port" of its messenger; empty until its first heartbeat
+    bool holdsReplica = false; ///< has a data folder, whether or not it is in the replica group
+    std::uint64_t configurationVersion = 0; ///< the version that it has in force
+    Instant deadAt{}; ///< considered dead if no heartbeat arrives before
 };
 
-/// The entry instances that the controller hears from. Thread safe.
+/// The entry instances that send heartbeats to the controller. Thread safe.
 class EntryTable
 {
 public:
-    /// The entry was heard; it is alive until its deadAt.
-    void heard(const EntryInfo &entry);
+    /// Records a heartbeat of \a entry, which is then alive until its deadAt.
+    void recordHeartbeat(const EntryInfo &entry);
 
-    /// A new controller knows \a instance from the state alone and gives it until \a deadAt.
-    void expect(const InstanceId &instance, Instant deadAt);
+    /// Adds \a instance, which a new controller knows from the replicated state only, and allows
+    /// it until \a deadAt to send a heartbeat. No effect if the instance is in the table already.
+    void expectHeartbeat(const InstanceId &instance, Instant deadAt);
 
     void clear();
 
     /// The address of \a instance; empty if it is not known.
     std::string address(const InstanceId &instance) const;
 
-    /// \a preferred if it is alive, otherwise the living entry next in turn; empty if none is.
+    /// Returns \a preferred if it is alive, otherwise the next live entry in round-robin order;
+    /// empty if no entry is alive.
     InstanceId pick(const InstanceId &preferred, Instant now);
 
-    /// Takes out the entries that have not been heard in time.
+    /// Removes and returns the entries whose heartbeats are overdue.
     std::vector<InstanceId> takeDead(Instant now);
 
     std::vector<EntryInfo> entries() const;
--- a/src/controller/eventloop.h
+++ b/src/controller/eventloop.h
@@ -11,9 +11,9 @@
 
 namespace guavavalve {
 
-/// A thread that runs what is posted to it, in order, in rounds: everything that has come in
-/// since the last round is run together, and then the round's end is told. Work that arrives
-/// while a round runs so shares the next one, which is what groups commits under load.
+/// A thread that runs posted events in order and in rounds: all events posted since the last round
+/// run together, followed by Hooks::roundEnded. Events that arrive during a round share the next
+/// one, so commits are batched under load.
 class EventLoop
 {
 public:
@@ -22,23 +22,23 @@
     struct Hooks
     {
         std::function<void()> roundEnded;
-        /// When the next round is due though nothing has been posted.
+        /// When the next round is due even if no event has been posted.
         std::function<Instant()> nextWakeup;
     };
 
-    /// \a capacity bounds what tryPost() lets wait.
+    /// \a capacity: queue length from which tryPost() refuses events.
     EventLoop(Hooks hooks, std::size_t capacity);
     ~EventLoop();
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
     void start();
-    /// Runs what has been posted and ends the thread. Later posts are dropped.
+    /// Runs the events posted so far and ends the thread. Later events are dropped.
     void stop();
 
-    /// Takes \a event whatever the length of the queue: for what must not be lost.
+    /// Queues \a event regardless of the capacity, for events that must not be lost.
     void post(Event event);
-    /// False, and \a event is not taken, when the queue is full.
+    /// Queues \a event and returns true, or returns false if the queue is full or the loop stops.
     bool tryPost(Event event);
 
     bool isCurrentThread() const { return std::this_thread::get_id() == this->thread.get_id(); }
--- a/src/controller/instancemetrics.h
+++ b/src/controller/instancemetrics.h
@@ -6,13 +6,13 @@
 struct MessengerCounters;
 struct ReplicaStatus;
 
-/// Shows how a replica stands.
+/// Sets the metrics of a replica's term, log positions and role.
 void exportReplicaMetrics(const ReplicaStatus &status, Metrics &into);
 
-/// Shows what an instance has exchanged with the others.
+/// Sets the metrics of the traffic between this instance and the others.
 void exportMessengerMetrics(const MessengerCounters &counters, Metrics &into);
 
-/// Shows how many lines the process's log has dropped.
+/// Sets the metric of the lines that the process's log has dropped.
 void exportLogMetrics(Metrics &into);
 
 } // namespace guavavalve
--- a/src/controller/jobquery.h
+++ b/src/controller/jobquery.h
@@ -10,7 +10,7 @@
 /// Payload of Method::JobStatus and Method::CancelJob.
 struct JobQuery
 {
-    std::string team; ///< whose job it must be
+    std::string team; ///< the team that must own the job
     JobId job = JobId::None;
     bool awaitEnd = false;
     std::int64_t waitMs = 0; ///< how long the reply may be held back while awaiting the end
--- a/src/controller/jobrequests.h
+++ b/src/controller/jobrequests.h
@@ -11,7 +11,7 @@
 
 namespace guavavalve {
 
-/// One job in a list.
+/// One job of a JobList.
 struct JobSummary
 {
     JobId job = JobId::None;
@@ -33,7 +33,7 @@
 struct JobList
 {
     std::vector<JobSummary> jobs; ///< newest first
-    bool more = false; ///< there are more than fit
+    bool more = false; ///< the list is incomplete because it reached its size limit
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -45,7 +45,7 @@
 struct ListJobsRequest
 {
     using Reply = JobList;
-    std::string team; ///< empty: of every team
+    std::string team; ///< empty: all teams
     bool unfinishedOnly = false;
     std::uint32_t atMost = 100;
 
@@ -56,11 +56,11 @@
     }
 };
 
-/// Why a job is where it is.
+/// The status of a job and the reasons for it.
 struct JobExplanation
 {
     JobStatus status;
-    std::vector<std::string> reasons; ///< for a person to read; the newest decision first
+    std::vector<std::string> reasons; ///< human-readable, in the order of the tasks
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/jobstatus.h
+++ b/src/controller/jobstatus.h
@@ -23,9 +23,9 @@
     std::string answerDigest;
     Ran ran = Ran::No;
     std::string message;
-    bool refused = false; ///< given up while it waited, for the reason in `refusal`
+    bool refused = false; ///< ended before it was placed, for the reason in `refusal`
     ErrorCode refusal = ErrorCode::DeadlineExceeded;
-    std::int64_t retryAfterMs = 0; ///< of a refusal; 0: no use in coming back
+    std::int64_t retryAfterMs = 0; ///< of a refusal; 0: a retry is of no use
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -36,14 +36,14 @@
     }
 };
 
-/// Where a job stands.
+/// The status of a job.
 struct JobStatus
 {
     JobId job = JobId::None;
     std::string team;
     WorkClass workClass = WorkClass::Prompt;
     bool finished = false; ///< every task is in a final state
-    std::int64_t waitedMs = 0; ///< from acceptance to its first start
+    std::int64_t waitedMs = 0; ///< from its acceptance to its first placement
     std::vector<TaskStatus> tasks;
 
     template<typename Archive>
--- a/src/controller/jobwaiters.cpp
+++ b/src/controller/jobwaiters.cpp
@@ -23,14 +23,14 @@
 {
     std::vector<std::pair<JobId, Waiter>> expired;
     for (auto entry = this->waiters.begin(); entry != this->waiters.end();) {
-        std::vector<Waiter> staying;
+        std::vector<Waiter> remaining;
         for (Waiter &waiter : entry->second) {
             if (waiter.deadline <= now)
                 expired.emplace_back(entry->first, std::move(waiter));
             else
-                staying.push_back(std::move(waiter));
+                remaining.push_back(std::move(waiter));
         }
-        entry->second = std::move(staying);
+        entry->second = std::move(remaining);
         entry = entry->second.empty() ? this->waiters.erase(entry) : std::next(entry);
     }
     return expired;
--- a/src/controller/jobwaiters.h
+++ b/src/controller/jobwaiters.h
@@ -9,11 +9,11 @@
 
 namespace guavavalve {
 
-/// Those who wait for a job's end. Not thread safe.
+/// The callers that wait for jobs to finish. Not thread safe.
 class JobWaiters
 {
 public:
-    /// One who waits, until \a deadline at the latest.
+    /// A caller that waits until \a deadline at the latest.
     struct Waiter
     {
         Instant deadline;
@@ -22,13 +22,13 @@
 
     void add(JobId job, Instant deadline, Done<JobStatus> done);
 
-    /// Takes out those who wait for \a job.
+    /// Removes and returns the waiters of \a job.
     std::vector<Waiter> take(JobId job);
 
-    /// Takes out, by job, those whose deadline is not after \a now.
+    /// Removes and returns the waiters whose deadline is not after \a now, with their jobs.
     std::vector<std::pair<JobId, Waiter>> takeExpired(Instant now);
 
-    /// Takes out everyone.
+    /// Removes and returns all waiters, with their jobs.
     std::vector<std::pair<JobId, Waiter>> takeAll();
 
 private:
--- a/src/controller/keyrequests.h
+++ b/src/controller/keyrequests.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// A key as operators see it; its secret is not kept anywhere.
+/// A key as shown to operators; its secret is not stored anywhere.
 struct KeySummary
 {
     std::string keyId;
@@ -24,7 +24,7 @@
     }
 };
 
-/// A newly granted key. The token is kept nowhere, and shown only to this request.
+/// A newly granted key. The token is not stored anywhere and is returned to this request only.
 struct KeyGranted
 {
     std::string keyId;
@@ -42,8 +42,8 @@
     using Reply = KeyGranted;
     std::string team;
     bool isOperator = false;
-    std::string label; ///< for a person to read
-    std::string requestId; ///< a resend under the same identity gets the same key
+    std::string label; ///< human-readable
+    std::string requestId; ///< a resend with the same identity gets the same key
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -72,7 +72,7 @@
     {}
 };
 
-/// Withdraws a key. Entries refuse it within seconds, or stop accepting.
+/// Withdraws a key. Within seconds every entry refuses the key or stops accepting requests.
 struct WithdrawKeyRequest
 {
     using Reply = KeySummary;
--- a/src/controller/nameinterner.h
+++ b/src/controller/nameinterner.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// Gives each name a small number, in order of first use, as the scheduler wants them.
+/// Maps names to small consecutive numbers, as the scheduler expects, in order of first use.
 class NameInterner
 {
 public:
--- a/src/controller/operatorclient.h
+++ b/src/controller/operatorclient.h
@@ -8,36 +8,37 @@
 
 namespace guavavalve {
 
-/// How the operators' interface reaches the controller, wherever it is. Every call ends by its
-/// deadline. The controller checks again what the identity may do.
+/// Interface to the controller for operators' requests, independent of the instance on which it
+/// runs. Every call completes by its deadline. The controller checks the identity's permissions
+/// itself.
 class OperatorClient
 {
 public:
     virtual ~OperatorClient() = default;
 
-    /// \errors PermissionDenied, Conflict, NotFound, InvalidArgument as the question's own
-    /// comment says; Unavailable without a controller, with Ran::Unknown when a change may have
-    /// been made (a resend with the same request identity is safe).
+    /// \errors PermissionDenied, Conflict, NotFound, InvalidArgument as documented for the type of
+    /// request; Unavailable without a controller, with Ran::Unknown if a change may have been made
+    /// (a resend with the same request identity is safe).
     virtual void operate(OperatorRequest request, Instant deadline, Done<OperatorReply> done) = 0;
 };
 
-/// Asks \a question and hands over the reply that belongs to it.
-template<typename Question>
-void ask(OperatorClient &client, OperatorIdentity identity, Question question, Instant deadline,
-         Done<typename Question::Reply> done)
+/// Sends \a request and passes on the reply of the type that belongs to it.
+template<typename Request>
+void ask(OperatorClient &client, OperatorIdentity identity, Request request, Instant deadline,
+         Done<typename Request::Reply> done)
 {
-    OperatorRequest request{std::move(identity), std::move(question)};
-    client.operate(std::move(request), deadline,
+    OperatorRequest message{std::move(identity), std::move(request)};
+    client.operate(std::move(message), deadline,
                    [done = std::move(done)](Result<OperatorReply> reply) {
                        if (!reply) {
                            done(reply.error());
                            return;
                        }
-                       auto *value = std::get_if<typename Question::Reply>(&reply.value());
+                       auto *value = std::get_if<typename Request::Reply>(&reply.value());
                        if (value == nullptr) {
                            done(failure(ErrorCode::Internal,
-                                        "the controller's reply is of another kind than asked; "
-                                        "are all instances of one release?"));
+                                        "the controller's reply does not match the type of the "
+                                        "request; check that all instances run the same release"));
                            return;
                        }
                        done(std::move(*value));
--- a/src/controller/operatorpermissions.cpp
+++ b/src/controller/operatorpermissions.cpp
@@ -9,13 +9,13 @@
 
 constexpr std::string_view teamSectionPrefix = "team.";
 
-template<typename Question, typename... Questions>
-constexpr bool isOneOf = (std::is_same_v<Question, Questions> || ...);
+template<typename Request, typename... Requests>
+constexpr bool isOneOf = (std::is_same_v<Request, Requests> || ...);
 
-template<typename Question>
+template<typename Request>
 constexpr bool isForOperatorsOnly =
-    isOneOf<Question, GrantKeyRequest, WithdrawKeyRequest, DrainTargetRequest,
-            EvacuateDomainRequest, AddReplicaRequest, RemoveReplicaRequest>;
+    isOneOf<Request, GrantKeyRequest, WithdrawKeyRequest, DrainTargetRequest, EvacuateDomainRequest,
+            AddReplicaRequest, RemoveReplicaRequest>;
 
 Error denied(const std::string &why)
 {
@@ -31,20 +31,20 @@
     return "operators";
 }
 
-Result<void> checkPermission(const OperatorIdentity &identity, const OperatorRequestBody &question,
+Result<void> checkPermission(const OperatorIdentity &identity, const OperatorRequestBody &body,
                              const std::string &sectionOwner)
 {
     if (identity.isOperator)
         return boost::outcome_v2::success();
     const bool operatorsOnly = std::visit(
-        [](const auto &value) { return isForOperatorsOnly<std::decay_t<decltype(value)>>; },
-        question);
+        [](const auto &value) { return isForOperatorsOnly<std::decay_t<decltype(value)>>; }, body);
     if (operatorsOnly)
-        return denied("this needs an operator's key, and yours is one of team " + identity.team);
-    const bool writesForeign =
-        std::holds_alternative<WriteSectionRequest>(question) && sectionOwner != identity.team;
-    if (writesForeign)
-        return denied("the section is owned by " + sectionOwner + ", and your key is one of team "
+        return denied("the request needs an operator's key; the key given is one of team "
+                      + identity.team);
+    const bool writesForeignSection =
+        std::holds_alternative<WriteSectionRequest>(body) && sectionOwner != identity.team;
+    if (writesForeignSection)
+        return denied("the section is owned by " + sectionOwner + "; the key given is one of team "
                       + identity.team);
     return boost::outcome_v2::success();
 }
--- a/src/controller/operatorpermissions.h
+++ b/src/controller/operatorpermissions.h
@@ -7,14 +7,15 @@
 
 namespace guavavalve {
 
-/// Whether \a identity may ask \a question. Operators may ask everything; a team may read what
-/// everybody may, and write its own section. \a sectionOwner is that of a section to be written.
-/// \errors PermissionDenied, saying whose key is wanted.
-Result<void> checkPermission(const OperatorIdentity &identity, const OperatorRequestBody &question,
+/// Checks whether \a identity may make the request \a body. Operators may make every request; a
+/// team may read what is open to everybody, and write its own section. \a sectionOwner: owner of
+/// the section to be written.
+/// \errors PermissionDenied, naming whose key is required.
+Result<void> checkPermission(const OperatorIdentity &identity, const OperatorRequestBody &body,
                              const std::string &sectionOwner);
 
-/// Who owns a section of that name that nobody has written yet: "team.NAME" is NAME's, every
-/// other is the operators'.
+/// The owner of a section that has not been written yet: team NAME for "team.NAME", otherwise the
+/// operators.
 std::string ownerOfNewSection(const std::string &section);
 
 } // namespace guavavalve
--- a/src/controller/operatorrequest.h
+++ b/src/controller/operatorrequest.h
@@ -14,7 +14,7 @@
 
 namespace guavavalve {
 
-/// Everything that an operator may ask of the controller. The order is part of the wire format.
+/// Every request that an operator can make. The order is part of the wire format.
 using OperatorRequestBody =
     std::variant<ShowConfigurationRequest, CheckConfigurationRequest, WriteSectionRequest,
                  SectionHistoryRequest, ConfigurationInForceRequest, GrantKeyRequest,
@@ -23,22 +23,22 @@
                  ExplainJobRequest, ListTeamsRequest, CellStatusRequest, ListDomainsRequest,
                  EvacuateDomainRequest>;
 
-/// The answer: always the question's Reply.
+/// The reply to a request, always of the request's type Reply.
 using OperatorReply = std::variant<ConfigurationDocument, ConfigurationCheck, SectionWritten,
                                    SectionHistory, ConfigurationInForce, KeyGranted, KeyList,
                                    KeySummary, TargetList, TargetSummary, ReplicaStatus, JobList,
                                    JobExplanation, TeamList, CellStatus, DomainList, DomainSummary>;
 
-/// A question and who asks it: the payload of Method::Operate.
+/// An operator's request and its sender: the payload of Method::Operate.
 struct OperatorRequest
 {
     OperatorIdentity identity;
-    OperatorRequestBody question;
+    OperatorRequestBody body;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->identity, this->question);
+        archive(this->identity, this->body);
     }
 };
 
--- a/src/controller/operatorservice.cpp
+++ b/src/controller/operatorservice.cpp
@@ -17,7 +17,7 @@
     return failure(ErrorCode::NotFound, "there is no " + what + " \"" + name + "\"");
 }
 
-ConfigurationSection present(const Section &section, const SectionVersion &version)
+ConfigurationSection toConfigurationSection(const Section &section, const SectionVersion &version)
 {
     ConfigurationSection result;
     result.name = section.name;
@@ -33,18 +33,18 @@
     return {key.id, key.team, key.role == KeyRole::Operator, key.label, key.withdrawn};
 }
 
-/// A command needs an identity by which a resend is known.
+/// Checks the identity by which a resend of a command is recognised.
 Result<void> checkRequestId(const std::string &requestId)
 {
     constexpr std::size_t longest = 128;
     if (requestId.empty() || requestId.size() > longest)
         return failure(ErrorCode::InvalidArgument,
-                       "give the request an identity of 1 to 128 bytes: a resend after a lost "
-                       "answer is known by it");
+                       "the request needs an identity of 1 to 128 bytes, by which a resend "
+                       "after a lost reply is recognised");
     return boost::outcome_v2::success();
 }
 
-/// The identity of the key that a grant makes: the same for a resend.
+/// The token of the key that a grant creates, which is the same for a resend.
 Result<KeyToken> tokenFor(const GrantKeyRequest &request, const std::string &clusterSecret)
 {
     constexpr std::size_t idDigits = 16;
@@ -68,11 +68,11 @@
 
 void OperatorService::operate(OperatorRequest request, Instant, Done<OperatorReply> done)
 {
-    // A controller that was cut off would answer from a state that others have moved on from:
-    // a withdrawn key shown as valid, a drained target as ready. Under the leader's lease no
-    // other replica can have committed anything.
+    // A partitioned controller would answer from an outdated state, for example show a withdrawn
+    // key as valid or a drained target as ready. While it holds the leader lease, no other replica
+    // can have committed anything.
     if (!this->hooks.log->holdsLeaderLease()) {
-        done(failure(ErrorCode::NotLeader, "this replica does not lead at the moment"));
+        done(failure(ErrorCode::NotLeader, "this replica currently does not lead"));
         return;
     }
     const Result<OperatorIdentity> identity = this->verify(request.identity);
@@ -80,13 +80,13 @@
         done(identity.error());
         return;
     }
-    if (const auto permitted = this->permit(identity.value(), request.question); !permitted) {
+    if (const auto permitted = this->permit(identity.value(), request.body); !permitted) {
         done(permitted.error());
         return;
     }
-    std::visit([this, &identity,
-                &done](const auto &question) { this->answer(identity.value(), question, done); },
-               request.question);
+    std::visit(
+        [this, &identity, &done](const auto &body) { this->handle(identity.value(), body, done); },
+        request.body);
 }
 
 Result<OperatorIdentity> OperatorService::verify(const OperatorIdentity &claimed) const
@@ -104,43 +104,44 @@
 }
 
 Result<void> OperatorService::permit(const OperatorIdentity &identity,
-                                     const OperatorRequestBody &question) const
+                                     const OperatorRequestBody &body) const
 {
     std::string owner;
-    if (const auto *write = std::get_if<WriteSectionRequest>(&question)) {
+    if (const auto *write = std::get_if<WriteSectionRequest>(&body)) {
         this->read([&](const ClusterState &state) {
             const Section *section = state.configuration().section(write->draft.name);
             owner = section != nullptr ? section->owner : ownerOfNewSection(write->draft.name);
         });
     }
-    return checkPermission(identity, question, owner);
+    return checkPermission(identity, body, owner);
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ShowConfigurationRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const ShowConfigurationRequest &request,
                              const Reply &reply)
 {
     ConfigurationDocument document;
     this->read([&](const ClusterState &state) {
         document.version = state.configuration().version();
         for (const auto &[name, section] : state.configuration().sections()) {
-            if (question.section.empty() || question.section == name)
-                document.sections.push_back(present(section, section.current()));
+            if (request.section.empty() || request.section == name)
+                document.sections.push_back(toConfigurationSection(section, section.current()));
         }
     });
-    if (document.sections.empty() && !question.section.empty())
-        reply(notFound("section", question.section));
+    if (document.sections.empty() && !request.section.empty())
+        reply(notFound("section", request.section));
     else
         reply(OperatorReply(std::move(document)));
 }
 
-void OperatorService::answer(const OperatorIdentity &identity,
-                             const CheckConfigurationRequest &question, const Reply &reply)
+void OperatorService::handle(const OperatorIdentity &identity,
+                             const CheckConfigurationRequest &request, const Reply &reply)
 {
     ConfigurationCheck check;
     this->read([&](const ClusterState &state) {
-        // Drafts are checked in their order, each upon those before it, as they would be written.
+        // Each draft is checked on top of the ones before it, in the order in which they would be
+        // written.
         Configuration document = state.configuration();
-        for (const SectionDraft &draft : question.drafts) {
+        for (const SectionDraft &draft : request.drafts) {
             WriteSection write;
             write.section = draft.name;
             write.content = draft.content;
@@ -160,19 +161,19 @@
     reply(OperatorReply(std::move(check)));
 }
 
-void OperatorService::answer(const OperatorIdentity &identity, const WriteSectionRequest &question,
+void OperatorService::handle(const OperatorIdentity &identity, const WriteSectionRequest &request,
                              const Reply &reply)
 {
-    if (const auto valid = checkRequestId(question.requestId); !valid) {
+    if (const auto valid = checkRequestId(request.requestId); !valid) {
         reply(valid.error());
         return;
     }
     WriteSection command;
-    command.requestId = question.requestId;
-    command.section = question.draft.name;
-    command.baseVersion = question.baseVersion;
+    command.requestId = request.requestId;
+    command.section = request.draft.name;
+    command.baseVersion = request.baseVersion;
     command.author = identity.keyId;
-    command.content = question.draft.content;
+    command.content = request.draft.content;
     command.writtenAt = this->hooks.cellTimeMs();
     this->hooks.propose(std::move(command), [reply](Result<CommandValue> outcome) {
         if (!outcome) {
@@ -188,20 +189,20 @@
     });
 }
 
-void OperatorService::answer(const OperatorIdentity &, const SectionHistoryRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const SectionHistoryRequest &request,
                              const Reply &reply)
 {
     SectionHistory history;
     this->read([&](const ClusterState &state) {
-        const Section *section = state.configuration().section(question.section);
+        const Section *section = state.configuration().section(request.section);
         if (section == nullptr)
             return;
         for (const SectionVersion &version : section->history)
-            history.versions.push_back(present(*section, version));
+            history.versions.push_back(toConfigurationSection(*section, version));
     });
     std::reverse(history.versions.begin(), history.versions.end());
     if (history.versions.empty())
-        reply(notFound("section", question.section));
+        reply(notFound("section", request.section));
     else
         reply(OperatorReply(std::move(history)));
 }
@@ -219,22 +220,22 @@
     return result;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ConfigurationInForceRequest &,
+void OperatorService::handle(const OperatorIdentity &, const ConfigurationInForceRequest &,
                              const Reply &reply)
 {
     reply(OperatorReply(this->inForce()));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const GrantKeyRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const GrantKeyRequest &request,
                              const Reply &reply)
 {
-    if (const auto valid = checkRequestId(question.requestId); !valid) {
+    if (const auto valid = checkRequestId(request.requestId); !valid) {
         reply(valid.error());
         return;
     }
-    // The token is derived from the request's identity and not made by chance: a resend after a
-    // lost answer then gives the same token, although the secret is kept nowhere.
-    const Result<KeyToken> token = tokenFor(question, this->hooks.clusterSecret);
+    // The token is derived from the request's identity and not random, so that a resend after a
+    // lost reply returns the same token although the secret is not stored anywhere.
+    const Result<KeyToken> token = tokenFor(request, this->hooks.clusterSecret);
     if (!token) {
         reply(token.error());
         return;
@@ -245,12 +246,12 @@
         return;
     }
     GrantKey command;
-    command.requestId = question.requestId;
+    command.requestId = request.requestId;
     command.keyId = token.value().keyId;
-    command.team = question.team;
-    command.role = question.isOperator ? KeyRole::Operator : KeyRole::Team;
+    command.team = request.team;
+    command.role = request.isOperator ? KeyRole::Operator : KeyRole::Team;
     command.keyedHash = keyedHash.value();
-    command.label = question.label;
+    command.label = request.label;
     const KeyGranted granted{token.value().keyId, token.value().keyId + ":" + token.value().secret};
     this->hooks.propose(std::move(command), [reply, granted](Result<CommandValue> outcome) {
         if (!outcome)
@@ -260,7 +261,7 @@
     });
 }
 
-void OperatorService::answer(const OperatorIdentity &identity, const ListKeysRequest &,
+void OperatorService::handle(const OperatorIdentity &identity, const ListKeysRequest &,
                              const Reply &reply)
 {
     KeyList list;
@@ -273,18 +274,18 @@
     reply(OperatorReply(std::move(list)));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const WithdrawKeyRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const WithdrawKeyRequest &request,
                              const Reply &reply)
 {
-    if (const auto valid = checkRequestId(question.requestId); !valid) {
+    if (const auto valid = checkRequestId(request.requestId); !valid) {
         reply(valid.error());
         return;
     }
     WithdrawKey command;
-    command.requestId = question.requestId;
-    command.keyId = question.keyId;
+    command.requestId = request.requestId;
+    command.keyId = request.keyId;
     this->hooks.propose(std::move(command),
-                        [this, reply, id = question.keyId](Result<CommandValue> outcome) {
+                        [this, reply, id = request.keyId](Result<CommandValue> outcome) {
                             if (!outcome) {
                                 reply(outcome.error());
                                 return;
@@ -310,22 +311,22 @@
     };
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ReplicaStatusRequest &,
+void OperatorService::handle(const OperatorIdentity &, const ReplicaStatusRequest &,
                              const Reply &reply)
 {
     reply(OperatorReply(this->hooks.log->status()));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const AddReplicaRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const AddReplicaRequest &request,
                              const Reply &reply)
 {
-    this->hooks.log->addMember(question.member, this->replyWithStatus(reply));
+    this->hooks.log->addMember(request.member, this->replyWithStatus(reply));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const RemoveReplicaRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const RemoveReplicaRequest &request,
                              const Reply &reply)
 {
-    this->hooks.log->removeMember(question.instance, this->replyWithStatus(reply));
+    this->hooks.log->removeMember(request.instance, this->replyWithStatus(reply));
 }
 
 } // namespace guavavalve
--- a/src/controller/operatorviews.cpp
+++ b/src/controller/operatorviews.cpp
@@ -1,4 +1,4 @@
-// What operators see of targets, teams, jobs and the cell: the reading half of OperatorService.
+// The requests of OperatorService about targets, failure domains, teams, jobs and the cell.
 
 #include "controller/operatorservice.h"
 #include "core/resourcelimit.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Jobs looked at for one list; it bounds how long the state is held still.
-constexpr std::size_t maxJobsLookedAt = 100000;
+/// Jobs scanned for one list, which bounds how long the state stays locked.
+constexpr std::size_t maxJobsScanned = 100000;
 constexpr std::uint32_t maxJobsListed = 1000;
 
 std::string targetState(const TargetRecord &target, const std::set<std::string> &quarantined)
@@ -69,7 +69,7 @@
     return summary;
 }
 
-/// Limits as operators know them: a negative amount stands for none.
+/// A resource limit as shown to operators: a negative amount means no limit.
 Resources shownLimit(Resources limit)
 {
     for (std::int64_t &amount : limit.amounts) {
@@ -79,20 +79,20 @@
     return limit;
 }
 
-struct FirstWaiting
+struct WaitingCount
 {
     std::uint64_t tasks = 0;
     TaskId first = TaskId::None;
 };
 
-using WaitingTable = std::map<std::pair<std::string, WorkClass>, FirstWaiting>;
+using WaitingTable = std::map<std::pair<std::string, WorkClass>, WaitingCount>;
 
 void countWaiting(const ClusterState &state, const JobRecord &job, WaitingTable &table)
 {
     for (std::size_t i = 0; i < job.tasks.size(); ++i) {
         if (job.tasks[i].state != TaskState::Waiting)
             continue;
-        FirstWaiting &row = table[{teamName(state, job.team), job.workClass}];
+        WaitingCount &row = table[{teamName(state, job.team), job.workClass}];
         ++row.tasks;
         if (row.first == TaskId::None)
             row.first = job.taskId(i);
@@ -114,27 +114,27 @@
     return list;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ListTargetsRequest &,
+void OperatorService::handle(const OperatorIdentity &, const ListTargetsRequest &,
                              const Reply &reply)
 {
     reply(OperatorReply(this->targetList()));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const DrainTargetRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const DrainTargetRequest &request,
                              const Reply &reply)
 {
     SetTargetDraining command;
     this->read([&](const ClusterState &state) {
-        const TargetRecord *target = state.targetNamed(question.target);
+        const TargetRecord *target = state.targetNamed(request.target);
         if (target != nullptr)
             command.target = target->id;
     });
     if (command.target == TargetId::None) {
         reply(failure(ErrorCode::NotFound,
-                      "no target has announced itself as \"" + question.target + "\""));
+                      "no target has announced itself as \"" + request.target + "\""));
         return;
     }
-    command.draining = question.drain;
+    command.draining = request.drain;
     this->hooks.propose(command, [this, reply, id = command.target](Result<CommandValue> outcome) {
         if (!outcome) {
             reply(outcome.error());
@@ -169,20 +169,20 @@
     return list;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ListDomainsRequest &,
+void OperatorService::handle(const OperatorIdentity &, const ListDomainsRequest &,
                              const Reply &reply)
 {
     reply(OperatorReply(this->domainList()));
 }
 
-void OperatorService::answer(const OperatorIdentity &, const EvacuateDomainRequest &question,
+void OperatorService::handle(const OperatorIdentity &, const EvacuateDomainRequest &request,
                              const Reply &reply)
 {
     SetDomainEvacuated command;
-    command.failureDomain = question.failureDomain;
-    command.evacuated = question.evacuate;
+    command.failureDomain = request.failureDomain;
+    command.evacuated = request.evacuate;
     this->hooks.propose(command,
-                        [this, reply, name = question.failureDomain](Result<CommandValue> outcome) {
+                        [this, reply, name = request.failureDomain](Result<CommandValue> outcome) {
                             if (!outcome) {
                                 reply(outcome.error());
                                 return;
@@ -221,26 +221,26 @@
     return list;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const ListTeamsRequest &, const Reply &reply)
+void OperatorService::handle(const OperatorIdentity &, const ListTeamsRequest &, const Reply &reply)
 {
     reply(OperatorReply(this->teamList()));
 }
 
-void OperatorService::answer(const OperatorIdentity &identity, const ListJobsRequest &question,
+void OperatorService::handle(const OperatorIdentity &identity, const ListJobsRequest &request,
                              const Reply &reply)
 {
-    const std::string team = identity.isOperator ? question.team : identity.team;
-    const std::uint32_t atMost = std::min(question.atMost, maxJobsListed);
+    const std::string team = identity.isOperator ? request.team : identity.team;
+    const std::uint32_t atMost = std::min(request.atMost, maxJobsListed);
     JobList list;
     this->read([&](const ClusterState &state) {
-        std::size_t lookedAt = 0;
+        std::size_t scanned = 0;
         for (auto it = state.jobs().rbegin(); it != state.jobs().rend(); ++it) {
             const JobRecord &job = it->second;
-            if (++lookedAt > maxJobsLookedAt || list.jobs.size() >= atMost) {
+            if (++scanned > maxJobsScanned || list.jobs.size() >= atMost) {
                 list.more = true;
                 return;
             }
-            if (question.unfinishedOnly && job.finished())
+            if (request.unfinishedOnly && job.finished())
                 continue;
             if (team.empty() || teamName(state, job.team) == team)
                 list.jobs.push_back(summarize(state, job));
@@ -249,14 +249,14 @@
     reply(OperatorReply(std::move(list)));
 }
 
-void OperatorService::answer(const OperatorIdentity &identity, const ExplainJobRequest &question,
+void OperatorService::handle(const OperatorIdentity &identity, const ExplainJobRequest &request,
                              const Reply &reply)
 {
-    const Result<JobStatus> status = this->hooks.jobStatus(question.job);
-    // Another team's job is answered as an unknown one: its being there is not theirs to know.
+    const Result<JobStatus> status = this->hooks.jobStatus(request.job);
+    // A job of another team is reported as unknown, so as not to reveal that it exists.
     if (!status || (!identity.isOperator && status.value().team != identity.team)) {
-        reply(
-            failure(ErrorCode::NotFound, "no such job; finished jobs are forgotten after a while"));
+        reply(failure(ErrorCode::NotFound,
+                      "no such job; finished jobs are removed after the retention time"));
         return;
     }
     constexpr std::size_t maxReasons = 50;
@@ -278,9 +278,9 @@
 {
     WaitingTable table;
     this->read([&](const ClusterState &state) {
-        std::size_t lookedAt = 0;
+        std::size_t scanned = 0;
         for (const auto &[id, job] : state.jobs()) {
-            if (++lookedAt > maxJobsLookedAt)
+            if (++scanned > maxJobsScanned)
                 return;
             if (!job.finished())
                 countWaiting(state, job, table);
@@ -296,7 +296,7 @@
     return result;
 }
 
-void OperatorService::answer(const OperatorIdentity &, const CellStatusRequest &,
+void OperatorService::handle(const OperatorIdentity &, const CellStatusRequest &,
                              const Reply &reply)
 {
     CellStatus status;
--- a/src/controller/operatorwiring.cpp
+++ b/src/controller/operatorwiring.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::vector<InstanceConfiguration> heldConfigurations(const CellController &controller)
+std::vector<InstanceConfiguration> instanceConfigurations(const CellController &controller)
 {
     std::vector<InstanceConfiguration> instances;
     const Instant now = monotonicNow();
@@ -19,12 +19,13 @@
     return instances;
 }
 
-Result<JobStatus> anyTeamsJob(const ClusterStateMachine &state, JobId job)
+Result<JobStatus> statusOfAnyTeamsJob(const ClusterStateMachine &state, JobId job)
 {
     return state.read([job](const ClusterState &cluster) -> Result<JobStatus> {
         const JobRecord *record = cluster.job(job);
         if (record == nullptr)
-            return failure(ErrorCode::NotFound, "there is no such job, or it is forgotten");
+            return failure(ErrorCode::NotFound,
+                           "there is no such job, or it has been removed after the retention time");
         return describeJob(cluster, *record);
     });
 }
@@ -39,11 +40,11 @@
     hooks.propose = [&controller](Command command, Done<CommandValue> done) {
         controller.propose(std::move(command), std::move(done));
     };
-    hooks.instances = [&controller] { return heldConfigurations(controller); };
+    hooks.instances = [&controller] { return instanceConfigurations(controller); };
     hooks.explain = [&controller](TaskId task) { return controller.explain(task); };
     hooks.statistics = [&controller] { return controller.statistics(); };
     hooks.quarantined = [] { return std::vector<std::string>(); };
-    hooks.jobStatus = [&state](JobId job) { return anyTeamsJob(state, job); };
+    hooks.jobStatus = [&state](JobId job) { return statusOfAnyTeamsJob(state, job); };
     hooks.cellTimeMs = [&controller] { return controller.cellTimeMs(); };
     hooks.clusterSecret = std::move(clusterSecret);
     hooks.log = &log;
--- a/src/controller/operatorwiring.h
+++ b/src/controller/operatorwiring.h
@@ -9,7 +9,8 @@
 class CellController;
 class ClusterStateMachine;
 
-/// The hooks by which the operators' service reaches \a controller, all of which must outlive it.
+/// The hooks that connect an OperatorService with \a controller. The referenced objects must
+/// outlive the service.
 OperatorHooks operatorHooks(CellController &controller, ClusterStateMachine &state,
                             ReplicatedLog &log, std::string clusterSecret);
 
--- a/src/controller/orderoutbox.cpp
+++ b/src/controller/orderoutbox.cpp
@@ -35,15 +35,15 @@
     this->schedule.clear();
 }
 
-std::map<InstanceId, std::vector<DispatchOrder>> OrderOutbox::due(Instant now, Instant again)
+std::map<InstanceId, std::vector<DispatchOrder>> OrderOutbox::due(Instant now, Instant retryAt)
 {
     std::map<InstanceId, std::vector<DispatchOrder>> orders;
     while (!this->schedule.empty() && this->schedule.begin()->first <= now) {
         const TaskId task = this->schedule.begin()->second;
         this->schedule.erase(this->schedule.begin());
         Pending &waiting = this->pending.at(task);
-        waiting.sendAt = again;
-        this->schedule.emplace(again, task);
+        waiting.sendAt = retryAt;
+        this->schedule.emplace(retryAt, task);
         orders[waiting.entry].push_back(waiting.order);
     }
     return orders;
--- a/src/controller/orderoutbox.h
+++ b/src/controller/orderoutbox.h
@@ -11,28 +11,28 @@
 
 namespace guavavalve {
 
-/// Orders that their entry has not acknowledged yet, each with the time of its next sending.
+/// Orders that their entry has not acknowledged yet, each with the time at which it is sent next.
 ///
-/// Guards against an order lost between controller and entry, which would show as a task that
-/// stays placed for ever though nobody follows it. An order is sent again until the entry has it,
-/// or the attempt is over or is given to another entry. Not thread safe.
+/// If an order between controller and entry were lost, its task would stay placed forever with no
+/// entry following it. An order is therefore resent until the entry acknowledges it, the attempt
+/// ends, or the attempt is assigned to another entry. Not thread safe.
 class OrderOutbox
 {
 public:
-    /// Puts in \a order for \a entry, in place of an older one for the same attempt.
+    /// Adds \a order for \a entry and replaces an older order for the same task.
     void put(const InstanceId &entry, DispatchOrder order, Instant sendAt);
 
-    /// The entry has the order: \a action tells which, as a newer one may have replaced it.
+    /// Removes the order that the entry has received. \a attempt and \a action identify it,
+    /// because a newer order may have replaced it.
     void acknowledged(TaskId task, AttemptNumber attempt, DispatchAction action);
 
-    /// The attempt is over.
+    /// Removes the order for \a task, if there is one.
     void drop(TaskId task);
 
     void clear();
 
-    /// The orders to be sent at \a now, by entry; each comes again at \a again unless it is
-    /// acknowledged.
-    std::map<InstanceId, std::vector<DispatchOrder>> due(Instant now, Instant again);
+    /// The orders due at \a now, by entry. Each is due again at \a retryAt until acknowledged.
+    std::map<InstanceId, std::vector<DispatchOrder>> due(Instant now, Instant retryAt);
 
     Instant nextSend() const;
 
--- a/src/controller/remotecontroller.cpp
+++ b/src/controller/remotecontroller.cpp
@@ -13,8 +13,9 @@
 
 namespace {
 
-// A held reply is given up well before the link would take the controller for silent.
-constexpr Milliseconds maxHold{1000};
+// A reply is held back for less than the link's timeout of an attempt, so that it is not taken for
+// a missing one.
+constexpr Milliseconds maxReplyHold{1000};
 
 template<typename Reply, typename Request>
 void callController(ControllerLink &link, Method method, const Request &request, Instant deadline,
@@ -52,19 +53,19 @@
     query.team = std::move(team);
     query.job = job;
     query.awaitEnd = awaitEnd;
-    query.waitMs = maxHold.count();
+    query.waitMs = maxReplyHold.count();
     if (!awaitEnd) {
         callController(*this->link, Method::JobStatus, query, deadline, std::move(done));
         return;
     }
-    // Asked again and again in short holds, so that a controller that dies meanwhile costs one
-    // hold and not the whole wait.
+    // Polled with replies that are held back for a short time each, so that a controller that
+    // dies costs at most one such time and not the whole wait.
     const auto link = this->link;
     callController<JobStatus>(
         *link, Method::JobStatus, query, deadline,
         [link, query, deadline, done = std::move(done)](Result<JobStatus> status) mutable {
-            const bool again = status && !status.value().finished && monotonicNow() < deadline;
-            if (!again) {
+            const bool pollAgain = status && !status.value().finished && monotonicNow() < deadline;
+            if (!pollAgain) {
                 done(std::move(status));
                 return;
             }
--- a/src/controller/remotecontroller.h
+++ b/src/controller/remotecontroller.h
@@ -10,7 +10,7 @@
 
 class ControllerLink;
 
-/// The controller as the packages of an instance see it, over a ControllerLink.
+/// Calls the controller over a ControllerLink.
 class RemoteController : public ControllerClient, public OperatorClient
 {
 public:
--- a/src/controller/replicarequests.h
+++ b/src/controller/replicarequests.h
@@ -17,8 +17,8 @@
     {}
 };
 
-/// Forms the group. The one request that goes to a replica's own log and not to the controller,
-/// for there is none yet.
+/// Forms the replica group. Unlike all other requests it goes to a replica's own log, because there
+/// is no controller yet.
 struct FormGroupRequest
 {
     using Reply = ReplicaStatus;
@@ -31,7 +31,7 @@
     }
 };
 
-/// Adds a replica; the reply comes once it votes.
+/// Adds a replica; the reply is sent once the replica votes.
 struct AddReplicaRequest
 {
     using Reply = ReplicaStatus;
--- a/src/controller/schedulerfeed.cpp
+++ b/src/controller/schedulerfeed.cpp
@@ -11,12 +11,12 @@
 {
     const CellSection &cell = state.configuration().cell();
     Policy policy;
-    // The state sets aside what was declared, so the scheduler must not set aside less.
+    // The replicated state reserves the declared resources, so the scheduler must not reserve less.
     policy.correctSizes = false;
     policy.quarantine.maxFleetFraction = static_cast<double>(cell.quarantinePercent) / 100.0;
-    const double besidePrompt = 1.0 - static_cast<double>(cell.promptHeadroomPercent) / 100.0;
-    policy.of(WorkClass::Batch).maxShare = besidePrompt;
-    policy.of(WorkClass::Gang).maxShare = besidePrompt;
+    const double nonPromptShare = 1.0 - static_cast<double>(cell.promptHeadroomPercent) / 100.0;
+    policy.of(WorkClass::Batch).maxShare = nonPromptShare;
+    policy.of(WorkClass::Gang).maxShare = nonPromptShare;
     for (ClassPolicy &classPolicy : policy.classes)
         classPolicy.maxWaiting = static_cast<std::uint32_t>(cell.maxWaitingTasks);
     for (const auto &[id, team] : state.teams()) {
--- a/src/controller/schedulerfeed.h
+++ b/src/controller/schedulerfeed.h
@@ -18,14 +18,14 @@
 struct TargetRecord;
 struct TaskRequest;
 
-/// Two readings of the time made together: the process's monotonic clock, and the cell time in
-/// milliseconds that the replicated state uses for deadlines and reports.
+/// The same moment on two clocks: the process's monotonic clock, and the cell time in milliseconds
+/// that the replicated state uses for deadlines and reports.
 struct TimePair
 {
     Instant now;
     std::int64_t cellMs = 0;
 
-    /// The monotonic deadline for a cell time; zero is no deadline.
+    /// The monotonic deadline for a deadline in cell time; zero means no deadline.
     Instant deadline(std::int64_t cellDeadlineMs) const
     {
         if (cellDeadlineMs == 0)
@@ -34,7 +34,7 @@
     }
 };
 
-/// Tells a scheduler what the replicated state holds.
+/// Converts the replicated state into the scheduler's input.
 class SchedulerFeed
 {
 public:
@@ -42,7 +42,7 @@
     TargetInfo targetInfo(const TargetRecord &target);
     TaskRequest taskRequest(const JobRecord &job, TaskId task, const TimePair &time) const;
 
-    /// A waiting task that the scheduler would not take.
+    /// A waiting task that the scheduler refused.
     struct Refused
     {
         JobId job = JobId::None;
@@ -50,9 +50,9 @@
         Error error;
     };
 
-    /// Brings an empty \a scheduler to where the state is, as a new controller does. What it
-    /// would not take is returned: it was accepted, so it may not be forgotten.
-    /// Cost: linear in targets and in tasks that are not over.
+    /// Fills an empty \a scheduler from the state, for a new controller. Returns the tasks that the
+    /// scheduler refused: they belong to accepted jobs and must not be lost.
+    /// Cost: linear in the targets and in the tasks that have not ended.
     std::vector<Refused> rebuild(Scheduler &scheduler, const ClusterState &state,
                                  const TimePair &time);
 
--- a/src/controller/submitreply.h
+++ b/src/controller/submitreply.h
@@ -7,12 +7,13 @@
 
 namespace guavavalve {
 
-/// The answer to an accepted SubmitRequest; a refusal is an Error.
+/// The reply to an accepted SubmitRequest; a refusal is an Error.
 struct SubmitReply
 {
     JobId job = JobId::None;
     bool joined = false; ///< the same request had been accepted before
-    /// Placements committed with the acceptance, for the asking entry to carry out at once.
+    /// Orders for placements committed with the acceptance, which the submitting entry carries out
+    /// at once.
     std::vector<DispatchOrder> dispatches;
 
     template<typename Archive>
--- a/src/controller/targetleases.h
+++ b/src/controller/targetleases.h
@@ -10,22 +10,22 @@
 
 namespace guavavalve {
 
-/// When the lease of each target is over for certain, by the controller's monotonic clock.
+/// When the lease of each target has certainly expired, by the controller's monotonic clock.
 ///
-/// Guards against moving work off a target that still runs it, which would show as the same task
-/// in two places. The target counts its lease from when it sent the announcement, the controller
-/// from when it gave the answer, and adds a margin for clock drift: the controller's end is always
-/// the later one. Not thread safe. Cost of each call: logarithmic in the number of targets.
+/// Work must not be moved off a target that still runs it, or the same task would run in two
+/// places. The target counts its lease from the time it sent the announcement. The controller
+/// counts it from the time it replied and adds a margin for clock drift, so its end is always the
+/// later one. Not thread safe. Cost of each call: logarithmic in the number of targets.
 class TargetLeases
 {
 public:
-    /// \a lapse: when the lease given now, and the margin, are over. Never brings an end forward.
+    /// \a lapse: when the lease granted now and its margin have passed. Never shortens a lease.
     void renew(TargetId target, Instant lapse);
 
     void forget(TargetId target);
     void clear();
 
-    /// Takes out the targets whose lease is over at \a now.
+    /// Removes and returns the targets whose lease has expired at \a now.
     std::vector<TargetId> takeLapsed(Instant now);
 
 private:
--- a/src/controller/targetrequests.h
+++ b/src/controller/targetrequests.h
@@ -12,7 +12,7 @@
 
 namespace guavavalve {
 
-/// A target as operators see it.
+/// A target as shown to operators.
 struct TargetSummary
 {
     std::string name;
@@ -22,7 +22,7 @@
     Incarnation incarnation = 0;
     std::string state; ///< "ready", "draining", "evacuated", "departing", "quarantined" or "lost"
     Resources total;
-    Resources placed; ///< given to attempts that are not known to be over
+    Resources placed; ///< of the attempts that are not known to have ended
     std::uint32_t tasks = 0;
 
     template<typename Archive>
@@ -53,7 +53,7 @@
     {}
 };
 
-/// Closes a target to new work, or opens it again. What runs on it goes on.
+/// Closes a target to new tasks or opens it again. Tasks that run on it continue.
 struct DrainTargetRequest
 {
     using Reply = TargetSummary;
@@ -68,13 +68,13 @@
     }
 };
 
-/// A failure domain as operators see it.
+/// A failure domain as shown to operators.
 struct DomainSummary
 {
     std::string failureDomain;
     bool evacuated = false;
     std::uint32_t targets = 0;
-    std::uint32_t tasks = 0; ///< given to its targets and not known to be over
+    std::uint32_t tasks = 0; ///< placed on its targets and not known to have ended
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -103,8 +103,8 @@
     {}
 };
 
-/// Closes all targets of a failure domain to new work, or opens them again. What runs there goes
-/// on. Of contrary wishes the one acknowledged last holds.
+/// Closes all targets of a failure domain to new tasks or opens them again. Tasks that run there
+/// continue. Of conflicting requests the one acknowledged last takes effect.
 struct EvacuateDomainRequest
 {
     using Reply = DomainSummary;
--- a/test/controller/cellcontrollertest.cpp
+++ b/test/controller/cellcontrollertest.cpp
@@ -23,8 +23,8 @@
     CHECK(status.value().tasks.front().state == TaskState::Succeeded);
 }
 
-// An entry reports an attempt's end again when the answer to its first report is lost. The job was
-// over with the first; counting it again would make the histogram of waiting times wrong.
+// An entry repeats the report of an attempt's end when the reply to the first report is lost. The
+// job has ended with the first; counting it again would falsify the histogram of waiting times.
 TEST_CASE("a job's waiting time is observed once however often its end is reported", "[controller]")
 {
     ControllerFixture cell;
@@ -60,8 +60,8 @@
     CHECK(refused.error().code == ErrorCode::Conflict);
 }
 
-// A caller's request waits because the fleet is full. Its deadline to start passes. The caller
-// must be told at once that it was not run, and it must not start later on.
+// The fleet is full, so a request waits until its start deadline passes. The caller must be told at
+// once that it has not run, and it must not start later.
 TEST_CASE("a job that cannot start by its deadline ends at once and has not run", "[controller]")
 {
     ControllerFixture cell;
@@ -83,10 +83,10 @@
     CHECK(status.value().tasks.front().ran == Ran::No);
 }
 
-// An order confirmation was sent to a target that then falls silent. Its lease runs out. Whether
-// the confirmation was made nobody can know, so the caller is told "unknown", never "not run",
-// and it is not sent anywhere else. A repeatable request is placed again.
-TEST_CASE("a silent target's lease runs out and only repeatable work goes elsewhere",
+// A target becomes unresponsive and its lease expires. Whether it has run its requests cannot be
+// known. For a request that must run at most once, the caller is told "unknown", never "not run",
+// and the request is not placed again. A repeatable request is placed again.
+TEST_CASE("only repeatable tasks are placed again when an unresponsive target's lease expires",
           "[controller]")
 {
     ControllerFixture cell;
@@ -116,10 +116,9 @@
     }));
 }
 
-// A target hangs. It keeps its lease for a while, so its work must stay where it is, but every
-// prompt request that is still sent to it waits until its caller has gone.
-TEST_CASE("a target that has fallen silent gets nothing new until it is heard again",
-          "[controller]")
+// A target hangs. Its tasks must stay where they are while it still has a lease, but prompt
+// requests that are still sent to it would wait until their callers give up.
+TEST_CASE("an unresponsive target gets no new tasks until it is heard again", "[controller]")
 {
     ControllerFixture cell(600000, Milliseconds(50));
     REQUIRE(cell.synchronise("e1"));
@@ -142,8 +141,8 @@
     }));
 }
 
-// The entry that follows a running attempt dies. The task must not be lost: another entry is
-// told to follow it, and is never told to start it.
+// The entry that follows a running attempt dies. The task must not be lost: another entry is told
+// to follow the attempt, but never to start it.
 TEST_CASE("a dead entry's attempts are followed by another entry", "[controller]")
 {
     ControllerFixture cell;
@@ -163,8 +162,8 @@
     }));
 }
 
-// A controller is deposed while requests are open. It must not answer as if it still led: an
-// entry that took its answer would keep an old configuration in force.
+// A controller loses leadership. It must not answer as if it still led, because an entry that
+// accepted its reply would keep an outdated configuration in force.
 TEST_CASE("a deposed controller renews no lease and takes no request", "[controller]")
 {
     ControllerFixture cell;
@@ -180,10 +179,10 @@
     CHECK(refused.error().code == ErrorCode::NotLeader);
 }
 
-// A controller is killed under load. Its successor takes requests before any entry has sent it a
-// heartbeat, and places them with no entry to start them: they hold their slots for ever and the
-// callers hang until every slot of the fleet is gone.
-TEST_CASE("a placement made before any entry was heard is started or given to another entry",
+// A controller is killed under load. Its successor accepts requests before any entry has sent it a
+// heartbeat. If it placed them without an entry to start them, they would hold their slots forever
+// and callers would hang until every slot of the fleet was taken.
+TEST_CASE("a placement made before any heartbeat of an entry is started or given to another entry",
           "[controller]")
 {
     ControllerFixture cell;
@@ -193,7 +192,7 @@
     REQUIRE(reply.value().dispatches.size() == 1);
     CHECK(reply.value().dispatches.front().action == DispatchAction::Start);
 
-    // The entry that asked is never heard of again.
+    // The submitting entry never sends a heartbeat.
     const TaskId task = reply.value().dispatches.front().task;
     CHECK(ControllerFixture::waitUntil([&] {
         static_cast<void>(cell.synchronise("e2"));
@@ -267,7 +266,7 @@
     CHECK(cell.submit(ControllerFixture::request("a")));
 }
 
-TEST_CASE("a gang is placed whole or not at all", "[controller]")
+TEST_CASE("the tasks of a gang are placed together or not at all", "[controller]")
 {
     ControllerFixture cell;
     REQUIRE(cell.synchronise("e1"));
--- a/test/controller/controllerfixture.cpp
+++ b/test/controller/controllerfixture.cpp
@@ -15,13 +15,13 @@
 
 } // namespace
 
-ControllerFixture::ControllerFixture(std::int64_t leaseMs, Milliseconds quietAfter)
+ControllerFixture::ControllerFixture(std::int64_t leaseMs, Milliseconds unresponsiveAfter)
     : controller(
-        [this, quietAfter] {
+        [this, unresponsiveAfter] {
             ControllerOptions options;
             options.cellTime = calendarMs;
             options.makeScheduler = [] { return std::make_unique<FirstFitScheduler>(); };
-            options.targetQuietAfter = quietAfter;
+            options.targetUnresponsiveAfter = unresponsiveAfter;
             options.entryTimeout = Milliseconds(300);
             options.orderRetry = Milliseconds(50);
             options.observeWait = [this](const std::string &, std::uint8_t, double) {
--- a/test/controller/controllerfixture.h
+++ b/test/controller/controllerfixture.h
@@ -20,10 +20,10 @@
 {
 public:
     explicit ControllerFixture(std::int64_t leaseMs = 400,
-                               Milliseconds quietAfter = Milliseconds(60000));
+                               Milliseconds unresponsiveAfter = Milliseconds(60000));
     ~ControllerFixture();
 
-    /// Calls with a Done and waits for what it is handed.
+    /// Runs \a call with a Done and waits for the result that is passed to it.
     template<typename T>
     Result<T> await(const std::function<void(Done<T>)> &call)
     {
@@ -31,7 +31,7 @@
         call([promise](Result<T> result) { promise->set_value(std::move(result)); });
         auto future = promise->get_future();
         if (future.wait_for(std::chrono::seconds(30)) != std::future_status::ready)
-            return failure(ErrorCode::Internal, "nothing was handed over within 30 s");
+            return failure(ErrorCode::Internal, "no result within 30 s");
         return future.get();
     }
 
@@ -44,10 +44,10 @@
     static SubmitRequest request(const std::string &idempotencyKey);
     static Announcement target(const std::string &name, Incarnation incarnation = 1);
 
-    /// Waits until an order has been sent to \a entry that \a matches.
+    /// Waits until an order for which \a matches returns true has been sent to \a entry.
     bool waitForOrder(const InstanceId &entry,
                       const std::function<bool(const DispatchOrder &)> &matches);
-    /// Waits until \a condition holds, asking again and again.
+    /// Polls \a condition until it holds.
     static bool waitUntil(const std::function<bool()> &condition);
 
     ClusterStateMachine state;
--- a/test/controller/controllerlinktest.cpp
+++ b/test/controller/controllerlinktest.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Replicas "a", "b" and "c" on a virtual clock. One answers calls only if it leads, and says whom
-/// it follows; a frozen one says nothing.
+/// Replicas "a", "b" and "c" on a virtual clock. Each serves calls only if it leads, and reports
+/// its leader; a frozen one does not respond.
 class LinkFixture : public Messenger
 {
 public:
@@ -20,7 +20,7 @@
         : link(std::make_shared<ControllerLink>(
             *this, std::vector<std::string>{"a", "b", "c"},
             [this](Milliseconds delay, std::function<void()> action) {
-                this->after(delay, std::move(action));
+                this->runAfter(delay, std::move(action));
             },
             ControllerLink::Limits{Milliseconds(400), Milliseconds(40), Milliseconds(80)},
             [this] { return this->now; }))
@@ -31,17 +31,17 @@
               Done<std::string> done) override
     {
         if (this->frozen.count(address) != 0) {
-            this->after(std::chrono::duration_cast<Milliseconds>(deadline - this->now),
-                        [done = std::move(done)] {
-                            Error late = failure(ErrorCode::DeadlineExceeded, "no reply");
-                            late.ran = Ran::Unknown;
-                            done(late);
-                        });
+            this->runAfter(std::chrono::duration_cast<Milliseconds>(deadline - this->now),
+                           [done = std::move(done)] {
+                               Error late = failure(ErrorCode::DeadlineExceeded, "no reply");
+                               late.ran = Ran::Unknown;
+                               done(late);
+                           });
             return;
         }
         auto answer = [this, address, method, done = std::move(done)] {
             if (method == Method::FindLeader) {
-                ++this->questions;
+                ++this->leaderQueries;
                 done(this->leader);
             } else if (address == this->leader) {
                 ++this->served[address];
@@ -53,10 +53,10 @@
         if (this->latency.count() == 0)
             answer();
         else
-            this->after(this->latency, std::move(answer));
+            this->runAfter(this->latency, std::move(answer));
     }
 
-    void after(Milliseconds delay, std::function<void()> action)
+    void runAfter(Milliseconds delay, std::function<void()> action)
     {
         this->due.emplace(this->now + delay, std::move(action));
     }
@@ -71,8 +71,8 @@
         }
         this->now = end;
     }
-    /// Calls the controller; what it was answered stands in `answers`.
-    void ask(Milliseconds limit = Milliseconds(2000))
+    /// Calls the controller and appends the reply to `answers`.
+    void callController(Milliseconds limit = Milliseconds(2000))
     {
         this->link->call(Method::Relay, "question", this->now + limit,
                          [this](const Result<std::string> &answer) {
@@ -81,89 +81,94 @@
     }
 
     Instant now{std::chrono::seconds(100)};
-    Milliseconds latency{1}; ///< zero: answered before the call returns
+    Milliseconds latency{1}; ///< zero: the reply arrives before the call returns
     std::multimap<Instant, std::function<void()>> due;
     std::set<std::string> frozen;
     std::string leader = "a";
     std::map<std::string, int> served;
-    int questions = 0;
+    int leaderQueries = 0;
     std::vector<std::string> answers;
     std::shared_ptr<ControllerLink> link;
 };
 
 } // namespace
 
-// The controller's process is frozen. The replicas have another within 0.6 s; callers at an
-// instance that had a call under way there waited until it was given up, 0.26 to 0.6 s longer.
-TEST_CASE_METHOD(LinkFixture, "a call leaves a silent controller once another leads", "[link]")
+// The controller's process is suspended, and the replicas elect another within 0.6 s. A call that
+// is in flight to the suspended one must not wait for its attempt's timeout, which would take 0.26
+// to 0.6 s longer.
+TEST_CASE_METHOD(LinkFixture, "a call to an unresponsive controller moves to the new leader",
+                 "[link]")
 {
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(10));
     REQUIRE(this->answers.size() == 1);
     this->frozen.insert("a");
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(150));
-    CHECK(this->answers.size() == 1); // nobody else leads yet
+    CHECK(this->answers.size() == 1); // no other replica leads yet
     this->leader = "b";
-    this->runFor(Milliseconds(90)); // the next question, and its answer
+    this->runFor(Milliseconds(90)); // the next query for the leader, and its reply
     REQUIRE(this->answers.size() == 2);
     CHECK(this->answers.back() == "by b");
-    this->runFor(Milliseconds(1000)); // the first try ends, and changes nothing
+    this->runFor(Milliseconds(1000)); // the first attempt times out, which changes nothing
     CHECK(this->answers.size() == 2);
     CHECK(this->link->controllerAddress() == "b");
 }
 
-// Commits are slow for a while. The controller is asked on, and once only: another that is told of
-// the same call has twice the work when everything is slow already.
-TEST_CASE_METHOD(LinkFixture, "a slow controller that still leads keeps its calls", "[link]")
+// Commits are slow for a while. A call must stay with the controller and be sent only once: a
+// second attempt would double the load while everything is slow already.
+TEST_CASE_METHOD(LinkFixture, "a call to a slow controller that still leads is not sent again",
+                 "[link]")
 {
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(10));
     this->latency = Milliseconds(300);
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(350));
     CHECK(this->answers.size() == 2);
     CHECK(this->served["a"] == 2);
 }
 
-TEST_CASE_METHOD(LinkFixture, "nobody is asked who leads while calls are answered in time",
+TEST_CASE_METHOD(LinkFixture, "replicas are not asked who leads while calls are answered in time",
                  "[link]")
 {
     for (int i = 0; i < 50; ++i) {
-        this->ask();
+        this->callController();
         this->runFor(Milliseconds(5));
     }
     this->runFor(Milliseconds(1000));
     CHECK(this->answers.size() == 50);
-    CHECK(this->questions == 0);
+    CHECK(this->leaderQueries == 0);
 }
 
-// Nobody leads at all until the deadline: what may have arrived at the silent controller is not
-// said to have never run.
-TEST_CASE_METHOD(LinkFixture, "a call that nobody answers ends once, by its deadline", "[link]")
+// No replica leads until the deadline. The call must fail once, and not as one that never ran,
+// because the unresponsive controller may have received it.
+TEST_CASE_METHOD(LinkFixture, "a call that no replica answers ends once, by its deadline", "[link]")
 {
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(10));
     this->frozen = {"a", "b", "c"};
-    this->ask(Milliseconds(900));
+    this->callController(Milliseconds(900));
     this->runFor(Milliseconds(3000));
     REQUIRE(this->answers.size() == 2);
     CHECK(this->answers.back() == "error");
 }
 
-// An answer comes on the messenger's thread before the caller's has noted that the call is under
-// way. The call was kept for ever as one without an answer, and the replicas were asked for ever.
-TEST_CASE_METHOD(LinkFixture, "a call that is answered at once is not doubted later", "[link]")
+// A reply arrives on the messenger's thread before the caller's thread has recorded that the call
+// is in flight. The call must not be recorded after that, or it would count as unanswered and the
+// replicas would be asked who leads forever.
+TEST_CASE_METHOD(LinkFixture, "a call that is answered at once does not count as unanswered later",
+                 "[link]")
 {
     this->latency = Milliseconds(0);
-    this->ask();
+    this->callController();
     REQUIRE(this->answers.size() == 1);
     this->latency = Milliseconds(300);
-    this->ask();
+    this->callController();
     this->runFor(Milliseconds(700));
     REQUIRE(this->answers.size() == 2);
-    const int asked = this->questions;
-    CHECK(asked > 0);
+    const int queriesBefore = this->leaderQueries;
+    CHECK(queriesBefore > 0);
     this->runFor(Milliseconds(2000));
-    CHECK(this->questions == asked);
+    CHECK(this->leaderQueries == queriesBefore);
 }
--- a/test/controller/loweredleasetest.cpp
+++ b/test/controller/loweredleasetest.cpp
@@ -4,10 +4,10 @@
 
 using namespace guavavalve;
 
-// An operator lowers the targets' lease from 3.3 s to 0.45 s and the controller dies. A target
-// that is cut off meanwhile still runs its tasks for the rest of the old lease. A successor that
-// counted by the new one would place them elsewhere at once, and they would run twice.
-TEST_CASE("a new controller waits for a longer lease that its predecessor may have given",
+// An operator lowers the targets' lease from 3.3 s to 0.45 s, and the controller dies. A target
+// that is partitioned at that time runs its tasks for the rest of the old lease. A successor that
+// applied the new lease would place them elsewhere too early, and they would run twice.
+TEST_CASE("a new controller waits for the longest lease that its predecessor may have granted",
           "[controller]")
 {
     ControllerFixture cell;
@@ -25,6 +25,6 @@
         return cell.state.read(
             [](const ClusterState &cluster) { return cluster.targetNamed("t1")->lapsed; });
     }));
-    // Not a matter of speed: the lease may be held for lapsed late, but never early.
+    // Holds at any speed of the machine: a lease may be declared lapsed late, but never early.
     CHECK((monotonicNow() - elected).count() >= Microseconds(longest).count());
 }
