--- a/src/controller/cellcontrollersubmit.cpp
+++ b/src/controller/cellcontrollersubmit.cpp
@@ -36,8 +36,9 @@
     return true;
 }
 
-/// Refuses a job with too many tasks before any is queued. The replicated state would refuse it
-/// too, but only after all its tasks had been queued here, which would block all other requests.
+/// Looks up the sender, and refuses a job with too many tasks before any is queued. The replicated
+/// state would refuse it too, but only after all its tasks had been queued here, which would delay
+/// all other requests.
 Result<CellController::Submitter> CellController::submitterOf(const SubmitRequest &request) const
 {
     return this->state.read([&](const ClusterState &cluster) -> Result<Submitter> {
