--- a/src/controller/cellcontroller.cpp
+++ b/src/controller/cellcontroller.cpp
@@ -53,13 +53,13 @@
 void CellController::post(Done<T> done, std::function<void(const Done<T> &)> action)
 {
     const auto shared = std::make_shared<Done<T>>(std::move(done));
-    const bool taken = this->loop.tryPost([this, shared, action = std::move(action)] {
+    const bool posted = this->loop.tryPost([this, shared, action = std::move(action)] {
         if (this->leading)
             action(*shared);
         else
             (*shared)(this->notLeader());
     });
-    if (!taken) {
+    if (!posted) {
         Error full = failure(ErrorCode::Unavailable, "the controller's queue is full");
         full.retryAfter = Milliseconds(500);
         (*shared)(full);
@@ -387,13 +387,13 @@
 
 void CellController::forgetOldJobs(Instant now)
 {
-    constexpr std::size_t maxForgotten = 1000;
+    constexpr std::size_t maxJobsPerCommand = 1000;
     ForgetJobs command;
     const auto isDue = [&] {
         return this->finishedJobs.size() > this->options.maxFinishedJobs
             || (!this->finishedJobs.empty() && this->finishedJobs.front().first <= now);
     };
-    while (isDue() && command.jobs.size() < maxForgotten) {
+    while (isDue() && command.jobs.size() < maxJobsPerCommand) {
         command.jobs.push_back(this->finishedJobs.front().second);
         this->reportedJobs.erase(this->finishedJobs.front().second);
         this->finishedJobs.pop_front();
--- a/src/controller/cellcontroller.h
+++ b/src/controller/cellcontroller.h
@@ -88,7 +88,8 @@
         bool isResend = false; ///< the idempotency key already belongs to a job
         std::int64_t startWithinMs = 0; ///< as requested, or the configured default
     };
-    /// A configuration sync whose reply is held back until the configuration changes.
+    /// A configuration sync whose reply is held back until the configuration changes or the
+    /// deadline passes.
     struct HeldSync
     {
         SyncRequest request;
@@ -171,7 +172,9 @@
 
     // The members below are accessed on the loop's thread only.
     bool leading = false;
-    std::shared_ptr<bool> termActive = std::make_shared<bool>(false); ///< until the term ends
+    /// Whether the current leadership term is active. Proposed commands keep it to recognise
+    /// outcomes that arrive after their term has ended.
+    std::shared_ptr<bool> termActive = std::make_shared<bool>(false);
     Instant nextSweep{};
     CommandPipeline pipeline;
     SchedulerFeed feed;
--- a/src/controller/cellcontrollersubmit.cpp
+++ b/src/controller/cellcontrollersubmit.cpp
@@ -83,9 +83,9 @@
     submit.request = std::move(request);
     submit.waiting.push_back(done);
     if (!submitter.value().isResend) {
-        const Result<void> taken = this->enqueueTasks(submit, team);
-        if (!taken) {
-            done(taken.error());
+        const Result<void> submitted = this->enqueueTasks(submit, team);
+        if (!submitted) {
+            done(submitted.error());
             return;
         }
     }
@@ -110,15 +110,15 @@
     task.repeatable = request.repeatable;
     for (std::uint32_t i = 0; i < request.tasks; ++i) {
         task.id = static_cast<TaskId>(idValue(pending.job) + i);
-        Result<void> taken = this->scheduler->submit(task, pending.time.now);
-        if (taken)
+        Result<void> submitted = this->scheduler->submit(task, pending.time.now);
+        if (submitted)
             continue;
         // A job is queued completely or not at all; nothing of it has been proposed yet.
         for (std::uint32_t j = 0; j < i; ++j) {
             this->scheduler->cancel(static_cast<TaskId>(idValue(pending.job) + j),
                                     pending.time.now);
         }
-        return taken;
+        return submitted;
     }
     return boost::outcome_v2::success();
 }
--- a/src/controller/cellcontrollersync.cpp
+++ b/src/controller/cellcontrollersync.cpp
@@ -96,9 +96,9 @@
         });
         if (!request)
             continue;
-        const Result<void> taken = this->scheduler->submit(*request, now.now);
-        if (!taken)
-            this->refusedTasks.push_back({waiting.job, waiting.task, taken.error()});
+        const Result<void> submitted = this->scheduler->submit(*request, now.now);
+        if (!submitted)
+            this->refusedTasks.push_back({waiting.job, waiting.task, submitted.error()});
     }
 }
 
--- a/src/controller/configurationfollower.cpp
+++ b/src/controller/configurationfollower.cpp
@@ -60,8 +60,9 @@
 
 Error ConfigurationFollower::noLeaseError()
 {
-    Error error =
-        failure(ErrorCode::Unavailable, "this instance has no contact with the controller");
+    Error error = failure(
+        ErrorCode::Unavailable,
+        "this instance holds no configuration lease: it has no contact with the controller");
     error.retryAfter = Milliseconds(1000);
     return error;
 }
--- a/src/controller/configurationfollower.h
+++ b/src/controller/configurationfollower.h
@@ -32,7 +32,7 @@
         InstanceId instance;
         std::string address; ///< "ip:port" of this instance's messenger
         std::string clusterSecret; ///< used to verify keys
-        bool holdsReplica = false; ///< this instance has a data folder, so it can host a replica
+        bool holdsReplica = false; ///< has a data folder, so it can host a replica
         Clock clock = monotonicNow;
         std::function<void(Milliseconds, std::function<void()>)> delay;
         /// How long the controller may hold back a reply without changes.
--- a/src/controller/configurationrequests.h
+++ b/src/controller/configurationrequests.h
@@ -123,7 +123,7 @@
 {
     std::uint64_t version = 0; ///< the section's new version
     std::uint64_t documentVersion = 0;
-    bool repeated = false; ///< the same request had been accepted before; nothing has changed
+    bool repeated = false; ///< the same request was accepted before; this one changed nothing
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -139,7 +139,7 @@
     using Reply = SectionWritten;
     SectionDraft draft;
     std::uint64_t baseVersion = 0; ///< the version to be replaced; 0: never written
-    std::string requestId; ///< a resend with the same identity gets the first outcome
+    std::string requestId; ///< a resend with the same request ID gets the first outcome
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/configurationsync.h
+++ b/src/controller/configurationsync.h
@@ -12,7 +12,8 @@
 {
     InstanceId entry;
     std::string address; ///< "ip:port" of its messenger
-    bool holdsReplica = false; ///< has a data folder, so it can replace a lost replica
+    /// Has a data folder, so it can host a replica in place of a lost one.
+    bool holdsReplica = false;
     std::uint64_t heldVersion = 0; ///< the document's version that the entry holds
     std::int64_t waitMs = 0; ///< how long a reply without changes may be held back
 
--- a/src/controller/controllerlink.cpp
+++ b/src/controller/controllerlink.cpp
@@ -23,7 +23,7 @@
     Instant deadline;
     Done<std::string> done;
     bool mayHaveRun = false;
-    unsigned attempts = 0; ///< the last one decides, unless an earlier one succeeds
+    unsigned attempts = 0; ///< the last one's result counts, unless an earlier one succeeds
     bool isSettled = false;
     std::string address; ///< of the last attempt
     Instant unresponsiveAt{}; ///< when the last attempt counts as unresponsive
@@ -110,7 +110,7 @@
         const std::lock_guard lock(this->mutex);
         const bool isLatest = attempt == call->attempts;
         if (call->isSettled || (!isLatest && !reply))
-            return; // settled, or left to the latest attempt
+            return; // already settled, or an earlier attempt failed and the latest one counts
         if (reply && isLatest)
             this->leader = address;
         call->mayHaveRun |= retryable && reply.error().ran == Ran::Unknown;
@@ -126,9 +126,9 @@
         call->done(std::move(reply));
 }
 
-/// Monitors an attempt, so that a call does not wait for an attempt's timeout at a suspended or
-/// partitioned controller: the other replicas have a new controller 0.3 to 0.6 s earlier, but do
-/// not notify the instances that callers reach.
+/// Monitors an attempt, so that a call does not wait for the attempt's timeout at a suspended or
+/// partitioned controller. The other replicas elect a new one 0.3 to 0.6 s before that timeout, but
+/// do not notify the instances that callers reach.
 void ControllerLink::monitor(const std::shared_ptr<Call> &call, const std::string &address,
                              unsigned attempt)
 {
--- a/src/controller/controllerlink.h
+++ b/src/controller/controllerlink.h
@@ -17,7 +17,7 @@
 /// Locates the controller among the replicas and sends calls to it. Thread safe.
 ///
 /// Requests are idempotent (submits by idempotency key, ends by attempt, operators' changes by
-/// request identity), so a call whose reply was lost is retried until its deadline.
+/// request ID), so a call whose reply was lost is retried until its deadline.
 class ControllerLink : public std::enable_shared_from_this<ControllerLink>
 {
 public:
--- a/src/controller/entrytable.h
+++ b/src/controller/entrytable.h
@@ -16,7 +16,7 @@
 {
     InstanceId instance;
     std::string address; ///< "ip:port" of its messenger; empty until its first heartbeat
-    bool holdsReplica = false; ///< has a data folder, whether or not it is in the replica group
+    bool holdsReplica = false; ///< has a data folder, so it can host a replica; member or not
     std::uint64_t configurationVersion = 0; ///< the version that it has in force
     Instant deadAt{}; ///< considered dead if no heartbeat arrives before
 };
--- a/src/controller/jobrequests.h
+++ b/src/controller/jobrequests.h
@@ -33,7 +33,7 @@
 struct JobList
 {
     std::vector<JobSummary> jobs; ///< newest first
-    bool more = false; ///< the list is incomplete because it reached its size limit
+    bool more = false; ///< not all matching jobs were listed, or not all jobs were scanned
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/keyrequests.h
+++ b/src/controller/keyrequests.h
@@ -43,7 +43,7 @@
     std::string team;
     bool isOperator = false;
     std::string label; ///< human-readable
-    std::string requestId; ///< a resend with the same identity gets the same key
+    std::string requestId; ///< a resend with the same request ID gets the same key
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/controller/operatorclient.h
+++ b/src/controller/operatorclient.h
@@ -18,7 +18,7 @@
 
     /// \errors PermissionDenied, Conflict, NotFound, InvalidArgument as documented for the type of
     /// request; Unavailable without a controller, with Ran::Unknown if a change may have been made
-    /// (a resend with the same request identity is safe).
+    /// (a resend with the same request ID is safe).
     virtual void operate(OperatorRequest request, Instant deadline, Done<OperatorReply> done) = 0;
 };
 
--- a/src/controller/operatorservice.cpp
+++ b/src/controller/operatorservice.cpp
@@ -33,14 +33,14 @@
     return {key.id, key.team, key.role == KeyRole::Operator, key.label, key.withdrawn};
 }
 
-/// Checks the identity by which a resend of a command is recognised.
+/// Checks the request ID by which a resend of a command is recognised.
 Result<void> checkRequestId(const std::string &requestId)
 {
-    constexpr std::size_t longest = 128;
-    if (requestId.empty() || requestId.size() > longest)
+    constexpr std::size_t maxRequestIdBytes = 128;
+    if (requestId.empty() || requestId.size() > maxRequestIdBytes)
         return failure(ErrorCode::InvalidArgument,
-                       "the request needs an identity of 1 to 128 bytes, by which a resend "
-                       "after a lost reply is recognised");
+                       "give the request an ID of 1 to 128 bytes, which identifies "
+                       "resends after a lost reply");
     return boost::outcome_v2::success();
 }
 
@@ -233,7 +233,7 @@
         reply(valid.error());
         return;
     }
-    // The token is derived from the request's identity and not random, so that a resend after a
+    // The token is derived from the request ID and not random, so that a resend after a
     // lost reply returns the same token although the secret is not stored anywhere.
     const Result<KeyToken> token = tokenFor(request, this->hooks.clusterSecret);
     if (!token) {
--- a/src/controller/schedulerfeed.cpp
+++ b/src/controller/schedulerfeed.cpp
@@ -79,9 +79,9 @@
             if (task.state == TaskState::Placed) {
                 scheduler.restorePlaced(request, job.need, task.target, time.now);
             } else if (task.state == TaskState::Waiting) {
-                const Result<void> taken = scheduler.submit(request, time.now);
-                if (!taken)
-                    refused.push_back({id, request.id, taken.error()});
+                const Result<void> submitted = scheduler.submit(request, time.now);
+                if (!submitted)
+                    refused.push_back({id, request.id, submitted.error()});
             }
         }
     }
--- a/src/controller/targetleases.h
+++ b/src/controller/targetleases.h
@@ -10,7 +10,8 @@
 
 namespace guavavalve {
 
-/// When the lease of each target has certainly expired, by the controller's monotonic clock.
+/// When the lease of each target has lapsed, that is, has certainly expired, by the controller's
+/// monotonic clock.
 ///
 /// Work must not be moved off a target that still runs it, or the same task would run in two
 /// places. The target counts its lease from the time it sent the announcement. The controller
@@ -25,7 +26,7 @@
     void forget(TargetId target);
     void clear();
 
-    /// Removes and returns the targets whose lease has expired at \a now.
+    /// Removes and returns the targets whose lease has lapsed at \a now.
     std::vector<TargetId> takeLapsed(Instant now);
 
 private:
--- a/test/controller/cellcontrollertest.cpp
+++ b/test/controller/cellcontrollertest.cpp
@@ -25,7 +25,8 @@
 
 // An entry repeats the report of an attempt's end when the reply to the first report is lost. The
 // job has ended with the first; counting it again would falsify the histogram of waiting times.
-TEST_CASE("a job's waiting time is observed once however often its end is reported", "[controller]")
+TEST_CASE("a job's waiting time is recorded once, however often its end is reported",
+          "[controller]")
 {
     ControllerFixture cell;
     REQUIRE(cell.synchronise("e1"));
@@ -118,7 +119,8 @@
 
 // A target hangs. Its tasks must stay where they are while it still has a lease, but prompt
 // requests that are still sent to it would wait until their callers give up.
-TEST_CASE("an unresponsive target gets no new tasks until it is heard again", "[controller]")
+TEST_CASE("an unresponsive target gets no new tasks until it announces itself again",
+          "[controller]")
 {
     ControllerFixture cell(600000, Milliseconds(50));
     REQUIRE(cell.synchronise("e1"));
@@ -164,7 +166,7 @@
 
 // A controller loses leadership. It must not answer as if it still led, because an entry that
 // accepted its reply would keep an outdated configuration in force.
-TEST_CASE("a deposed controller renews no lease and takes no request", "[controller]")
+TEST_CASE("a controller that lost leadership renews no leases and refuses requests", "[controller]")
 {
     ControllerFixture cell;
     REQUIRE(cell.synchronise("e1"));
@@ -217,7 +219,7 @@
     }));
 }
 
-TEST_CASE("a cancelled job that waits ends at once and one that runs is stopped", "[controller]")
+TEST_CASE("cancelling ends a waiting job at once and stops a running one", "[controller]")
 {
     ControllerFixture cell;
     REQUIRE(cell.synchronise("e1"));
--- a/test/controller/controllerlinktest.cpp
+++ b/test/controller/controllerlinktest.cpp
@@ -74,7 +74,7 @@
     /// Calls the controller and appends the reply to `answers`.
     void callController(Milliseconds limit = Milliseconds(2000))
     {
-        this->link->call(Method::Relay, "question", this->now + limit,
+        this->link->call(Method::Relay, "payload", this->now + limit,
                          [this](const Result<std::string> &answer) {
                              this->answers.push_back(answer ? answer.value() : "error");
                          });
