--- a/src/replicas/appendreply.h
+++ b/src/replicas/appendreply.h
@@ -6,13 +6,14 @@
 
 namespace guavavalve {
 
-/// Sent once the entries are synced.
+/// A follower's reply to an AppendRequest. An accepting reply is sent only after the entries have
+/// been synced.
 struct AppendReply
 {
     bool accepted = false;
-    LogIndex matchIndex = 0; ///< if accepted: the last entry known to agree with the leader's
-    LogIndex previousIndex = 0; ///< that of the request
-    LogIndex nextIndex = 0; ///< if not accepted: where the leader should try again
+    LogIndex matchIndex = 0; ///< if accepted: the last entry known to match the leader's log
+    LogIndex previousIndex = 0; ///< copied from the request
+    LogIndex nextIndex = 0; ///< if rejected: the index from which the leader should retry
     std::int64_t sentAt = 0;
 
     template<typename Archive>
--- a/src/replicas/appendrequest.h
+++ b/src/replicas/appendrequest.h
@@ -9,13 +9,13 @@
 
 namespace guavavalve {
 
-/// The leader's entries for a follower, after the one that both should have.
+/// Replicates the leader's entries that follow \a previousIndex to a follower.
 struct AppendRequest
 {
     LogIndex previousIndex = 0;
     std::uint64_t previousTerm = 0;
     LogIndex committed = 0;
-    std::int64_t sentAt = 0; ///< by the leader's clock; comes back in the reply
+    std::int64_t sentAt = 0; ///< by the leader's clock; returned in the reply
     std::vector<LogEntry> entries;
 
     template<typename Archive>
--- a/src/replicas/installedsnapshot.h
+++ b/src/replicas/installedsnapshot.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// A snapshot that has come in whole from the leader, to be stored and restored from.
+/// A snapshot that has been received completely from the leader, to be saved and then restored.
 struct InstalledSnapshot
 {
     SnapshotMeta meta;
--- a/src/replicas/memberlist.h
+++ b/src/replicas/memberlist.h
@@ -11,10 +11,10 @@
 
 namespace guavavalve {
 
-/// The whole membership of a group: the payload of an EntryKind::Members entry.
+/// The full membership of a group: the payload of an EntryKind::Members entry.
 struct MemberList
 {
-    std::uint64_t formation = 0; ///< random number of the group's one formation
+    std::uint64_t formation = 0; ///< random ID that the group was given when it was formed
     std::vector<MemberRecord> members;
 
     template<typename Archive>
@@ -42,7 +42,7 @@
                                                       [](const auto &m) { return m.voter; }));
     }
 
-    /// How many voters a decision needs.
+    /// The number of votes that a decision requires.
     std::size_t quorum() const { return this->voters() / 2 + 1; }
 };
 
--- a/src/replicas/memberrecord.h
+++ b/src/replicas/memberrecord.h
@@ -9,15 +9,15 @@
 
 namespace guavavalve {
 
-/// One replica as the group's own log records it.
+/// A member of the group as recorded in the group's log.
 struct MemberRecord
 {
     InstanceId instance;
-    ReplicaId replica = ReplicaId::None; ///< the identity of its data folder
+    ReplicaId replica = ReplicaId::None; ///< identifies its data folder
     std::string address; ///< "ip:port" of its messenger
     bool voter = false;
-    /// Of a learner: the voter that goes when this one is ready. In the log, so that a new leader
-    /// carries on with the replacement.
+    /// For a learner: the voter to remove once this learner has caught up. Recorded in the log so
+    /// that a new leader continues the replacement.
     ReplicaId replaces = ReplicaId::None;
 
     template<typename Archive>
--- a/src/replicas/progress.h
+++ b/src/replicas/progress.h
@@ -11,13 +11,13 @@
 
 namespace guavavalve {
 
-/// What a leader knows of one other replica.
+/// The replication state that a leader keeps for another replica.
 struct Progress
 {
     enum class State : std::uint8_t {
-        Probe, ///< one message at a time, until the logs are known to agree somewhere
-        Replicate, ///< many messages under way, bounded by their bytes
-        Snapshot, ///< it needs entries that are gone here
+        Probe, ///< one message at a time, until a matching log index is known
+        Replicate, ///< pipelined messages, bounded by RaftCoreOptions::maxInFlightBytes
+        Snapshot, ///< it needs entries that the leader has compacted away
     };
 
     struct InFlight
@@ -27,26 +27,27 @@
     };
 
     State state = State::Probe;
-    LogIndex match = 0; ///< known to be synced there
+    LogIndex match = 0; ///< the last entry known to be synced on that replica
     LogIndex next = 1;
     std::deque<InFlight> inFlight;
     std::size_t inFlightBytes = 0;
-    bool awaiting = false; ///< a probe or a piece of a snapshot is under way
-    Instant stalledAt{}; ///< no answer by then: what is under way counts for lost
-    Instant pausedUntil{}; ///< could not be reached: no new try before
-    Instant answeredAt{}; ///< when anything last came from it
-    Instant leaseFrom{}; ///< when the last message that it answered was sent
+    bool awaitingReply = false; ///< a probe or a snapshot chunk is in flight
+    Instant replyDeadline{}; ///< without a reply by then, messages in flight count as lost
+    Instant pausedUntil{}; ///< after a failed send: no retry before this instant
+    Instant lastReplyAt{}; ///< when its last reply was received
+    Instant lastAckedSendTime{}; ///< when the newest message that it has replied to was sent
     bool everAnswered = false; ///< in this term
     SnapshotMeta snapshot;
     std::uint64_t snapshotOffset = 0;
-    /// Another replica answers at its address: the disk there was lost.
-    ReplicaId foundInstead = ReplicaId::None;
+    /// The replica that now answers at its address, because the disk there was lost; None if there
+    /// is none.
+    ReplicaId replacement = ReplicaId::None;
 
     void clearInFlight()
     {
         this->inFlight.clear();
         this->inFlightBytes = 0;
-        this->awaiting = false;
+        this->awaitingReply = false;
     }
 };
 
--- a/src/replicas/raftcore.cpp
+++ b/src/replicas/raftcore.cpp
@@ -36,33 +36,34 @@
     : options(std::move(settings))
     , own(recovered.replica)
     , now(start)
-    , hard(recovered.hardState)
-    // Guards the leader's lease: a voter that restarts has forgotten when it heard the leader.
-    // Without the wait it could elect another while the old leader still serves reads, which
-    // would show as an answer from before an acknowledged change.
-    , heardLeaderAt(start)
+    , hardState(recovered.hardState)
+    // Counts the start as contact with the leader, to protect the leader's lease: a voter that
+    // restarts has forgotten when it last heard from the leader. Without this wait it could help to
+    // elect another one while the old leader still serves reads from its lease, and a client could
+    // be given a state older than an acknowledged change.
+    , lastLeaderContact(start)
 {
-    this->history.push_back({});
+    this->memberHistory.push_back({});
     if (recovered.snapshot) {
         this->snapshot = *recovered.snapshot;
         this->log.reset(this->snapshot.index, this->snapshot.term);
-        this->commit = this->snapshot.index;
-        this->delivered = this->snapshot.index;
+        this->commitIndex = this->snapshot.index;
+        this->deliveredIndex = this->snapshot.index;
         auto list = decode<MemberList>(this->snapshot.members);
-        assert(list && "the storage hands over only snapshots whose checksum holds");
+        assert(list && "the storage returns only snapshots whose checksum matches");
         if (list)
-            this->history.back() = {this->snapshot.index, std::move(list).value()};
+            this->memberHistory.back() = {this->snapshot.index, std::move(list).value()};
     }
     for (const LogEntry &entry : recovered.entries) {
         if (entry.kind == EntryKind::Members) {
             if (auto list = decode<MemberList>(entry.payload))
-                this->history.push_back({entry.index, std::move(list).value()});
+                this->memberHistory.push_back({entry.index, std::move(list).value()});
         }
         this->log.append(entry);
     }
-    this->stored = this->log.lastIndex();
-    this->electionAt = this->afterElectionTimeout();
-    this->freshStart = std::max<std::uint64_t>(1, this->options.random()); // 0 names none
+    this->syncedIndex = this->log.lastIndex();
+    this->electionAt = this->randomElectionDeadline();
+    this->startupId = std::max<std::uint64_t>(1, this->options.random()); // 0 means none
 }
 
 void RaftCore::tick(Instant time)
@@ -74,14 +75,14 @@
         this->leaderTick();
         return;
     }
-    if (this->isFresh() && this->now >= this->earlyAt)
-        this->askEarly();
+    if (this->awaitsFirstLeader() && this->now >= this->startupPreVoteAt)
+        this->requestStartupPreVotes();
     if (this->now < this->electionAt)
         return;
-    if (this->mayStand())
+    if (this->canCampaign())
         this->startPreVote();
     else
-        this->electionAt = this->afterElectionTimeout();
+        this->electionAt = this->randomElectionDeadline();
 }
 
 void RaftCore::receive(RaftMessage message, std::uint64_t token, Instant time)
@@ -100,7 +101,7 @@
         this->onFormRequest(message, *request, token);
         return;
     }
-    if (message.formation != this->hard.formation) {
+    if (message.formation != this->hardState.formation) {
         const bool joins =
             !this->isFormed() && (holds<AppendRequest>(message) || holds<SnapshotRequest>(message));
         if (!joins) {
@@ -119,14 +120,14 @@
         this->onVoteRequest(message, *request, token);
         return;
     }
-    if (message.term > this->hard.term)
+    if (message.term > this->hardState.term)
         this->becomeFollower(message.term, ReplicaId::None);
     if (isFromLeader(message) || holds<TimeoutNow>(message)) {
-        this->fromLeader(message, token);
+        this->handleLeaderMessage(message, token);
         return;
     }
-    if (message.term < this->hard.term && !holds<VoteReply>(message))
-        return; // an answer to what this replica sent in an earlier term
+    if (message.term < this->hardState.term && !holds<VoteReply>(message))
+        return; // a reply to a request of an earlier term
     if (const auto *vote = std::get_if<VoteReply>(&message.body))
         this->onVoteReply(message, *vote);
     if (const auto *append = std::get_if<AppendReply>(&message.body))
@@ -137,10 +138,10 @@
         this->onSnapshotReply(message, *chunk);
 }
 
-void RaftCore::fromLeader(const RaftMessage &message, std::uint64_t token)
+void RaftCore::handleLeaderMessage(const RaftMessage &message, std::uint64_t token)
 {
-    if (message.term < this->hard.term) {
-        // The reply's term tells a deposed leader that it is one.
+    if (message.term < this->hardState.term) {
+        // The term in the reply makes a deposed leader step down.
         this->reply(message, token, HeartbeatReply{});
         return;
     }
@@ -150,14 +151,15 @@
         return;
     }
     if (this->currentRole == ReplicaRole::Leader) {
-        this->breakInvariant("two replicas lead in one term; stop the group and report this");
+        this->reportInvariantViolation(
+            "two replicas are leaders in the same term; stop the group and report this");
         return;
     }
     if (this->currentRole != ReplicaRole::Follower || this->currentLeader != message.from)
         this->becomeFollower(message.term, message.from);
-    this->heardLeaderAt = this->now;
-    this->freshStart = 0;
-    this->electionAt = this->afterElectionTimeout();
+    this->lastLeaderContact = this->now;
+    this->startupId = 0;
+    this->electionAt = this->randomElectionDeadline();
     if (const auto *append = std::get_if<AppendRequest>(&message.body))
         this->onAppendRequest(message, *append, token);
     if (const auto *heartbeat = std::get_if<HeartbeatRequest>(&message.body))
@@ -168,7 +170,7 @@
 
 void RaftCore::persisted()
 {
-    this->stored = this->log.lastIndex();
+    this->syncedIndex = this->log.lastIndex();
     if (this->currentRole == ReplicaRole::Leader)
         this->advanceCommit();
 }
@@ -177,25 +179,25 @@
 {
     if (meta.index <= this->snapshot.index)
         return;
-    assert(meta.index <= this->delivered && "a snapshot holds only what was handed out");
+    assert(meta.index <= this->deliveredIndex && "a snapshot covers only delivered entries");
     this->snapshot = meta;
     const LogIndex keep = this->options.retainedEntries;
     const LogIndex base = meta.index > keep ? meta.index - keep : 0;
     this->log.compactTo(base);
     while (this->log.bytes() > this->options.retainedBytes && this->log.baseIndex() < meta.index)
         this->log.compactTo(this->log.baseIndex() + 1);
-    while (this->history.size() > 1 && this->history[1].index <= this->log.baseIndex())
-        this->history.pop_front();
+    while (this->memberHistory.size() > 1 && this->memberHistory[1].index <= this->log.baseIndex())
+        this->memberHistory.pop_front();
 }
 
 Result<LogIndex> RaftCore::propose(std::string command)
 {
     if (this->currentRole != ReplicaRole::Leader)
-        return failure(ErrorCode::NotLeader, "this replica does not lead its group");
+        return failure(ErrorCode::NotLeader, "this replica is not the leader of its group");
     if (this->isTransferring())
-        return failure(ErrorCode::Unavailable, "leadership is being handed over");
+        return failure(ErrorCode::Unavailable, "leadership is being transferred");
     const LogIndex index = this->log.lastIndex() + 1;
-    this->appendEntry({index, this->hard.term, EntryKind::Command, std::move(command)});
+    this->appendEntry({index, this->hardState.term, EntryKind::Command, std::move(command)});
     return index;
 }
 
@@ -203,10 +205,10 @@
 {
     if (this->currentRole == ReplicaRole::Leader)
         this->sendEntries();
-    if (this->hardChanged) {
-        // Nothing may speak for a term or a vote that is not synced yet.
-        this->pending.batch.hardState = this->hard;
-        this->hardChanged = false;
+    if (this->hardStateChanged) {
+        // No message may rely on a term or a vote that has not been synced yet.
+        this->pending.batch.hardState = this->hardState;
+        this->hardStateChanged = false;
         auto &before = this->pending.beforeSync;
         auto &after = this->pending.afterSync;
         after.insert(after.end(), std::make_move_iterator(before.begin()),
@@ -218,22 +220,22 @@
 
 std::vector<LogEntry> RaftCore::takeCommitted(std::size_t maxBytes)
 {
-    if (this->delivered >= this->commit)
+    if (this->deliveredIndex >= this->commitIndex)
         return {};
-    auto entries = this->log.read(this->delivered + 1, this->commit, maxBytes);
-    this->delivered = entries.back().index;
+    auto entries = this->log.read(this->deliveredIndex + 1, this->commitIndex, maxBytes);
+    this->deliveredIndex = entries.back().index;
     return entries;
 }
 
 const MemberList &RaftCore::committedMembers() const
 {
-    return this->membersAt(this->commit);
+    return this->membersAt(this->commitIndex);
 }
 
 const MemberList &RaftCore::membersAt(LogIndex index) const
 {
     const auto after =
-        std::find_if(this->history.begin() + 1, this->history.end(),
+        std::find_if(this->memberHistory.begin() + 1, this->memberHistory.end(),
                      [&](const MembersAt &members) { return members.index > index; });
     return std::prev(after)->list;
 }
@@ -242,7 +244,7 @@
 {
     return std::any_of(this->progress.begin(), this->progress.end(), [&](const auto &peer) {
         return peer.second.state == Progress::State::Snapshot
-            && this->now < peer.second.answeredAt + 2 * this->options.electionMax;
+            && this->now < peer.second.lastReplyAt + 2 * this->options.electionMax;
     });
 }
 
@@ -253,14 +255,14 @@
                                                           : this->currentRole;
 }
 
-RaftMessage RaftCore::envelope(ReplicaId to, RaftBody body) const
+RaftMessage RaftCore::makeMessage(ReplicaId to, RaftBody body) const
 {
     RaftMessage message;
     message.group = this->options.group;
-    message.formation = this->hard.formation;
+    message.formation = this->hardState.formation;
     message.from = this->own;
     message.to = to;
-    message.term = this->hard.term;
+    message.term = this->hardState.term;
     message.body = std::move(body);
     return message;
 }
@@ -268,7 +270,7 @@
 void RaftCore::reply(const RaftMessage &request, std::uint64_t token, RaftBody body)
 {
     OutgoingMessage outgoing;
-    outgoing.message = this->envelope(request.from, std::move(body));
+    outgoing.message = this->makeMessage(request.from, std::move(body));
     outgoing.replyTo = token;
     this->pending.afterSync.push_back(std::move(outgoing));
 }
@@ -277,7 +279,7 @@
                       std::size_t chunkBytes)
 {
     OutgoingMessage outgoing;
-    outgoing.message = this->envelope(member.replica, std::move(body));
+    outgoing.message = this->makeMessage(member.replica, std::move(body));
     outgoing.address = member.address;
     outgoing.chunkBytes = chunkBytes;
     auto &messages = beforeSync ? this->pending.beforeSync : this->pending.afterSync;
@@ -287,7 +289,7 @@
 void RaftCore::replyIdentity(const RaftMessage &request, std::uint64_t token)
 {
     this->reply(request, token,
-                IdentityReply{this->options.instance, this->own, this->hard.formation, 0});
+                IdentityReply{this->options.instance, this->own, this->hardState.formation, 0});
 }
 
 void RaftCore::appendEntry(LogEntry entry)
@@ -295,11 +297,11 @@
     if (entry.kind == EntryKind::Members) {
         auto list = decode<MemberList>(entry.payload);
         if (!list) {
-            this->breakInvariant("a list of members in the log cannot be decoded");
+            this->reportInvariantViolation("a member list in the log cannot be decoded");
             return;
         }
-        // In force from here on, committed or not (thesis, 4.1).
-        this->history.push_back({entry.index, std::move(list).value()});
+        // Takes effect at once, whether committed or not (thesis, 4.1).
+        this->memberHistory.push_back({entry.index, std::move(list).value()});
     }
     this->pending.batch.entries.push_back(entry);
     this->log.append(std::move(entry));
@@ -310,18 +312,18 @@
 void RaftCore::truncateFrom(LogIndex index)
 {
     this->log.truncateFrom(index);
-    this->stored = std::min(this->stored, index - 1);
-    while (this->history.size() > 1 && this->history.back().index >= index)
-        this->history.pop_back();
+    this->syncedIndex = std::min(this->syncedIndex, index - 1);
+    while (this->memberHistory.size() > 1 && this->memberHistory.back().index >= index)
+        this->memberHistory.pop_back();
 }
 
 void RaftCore::setTerm(std::uint64_t term)
 {
-    if (term == this->hard.term)
+    if (term == this->hardState.term)
         return;
-    this->hard.term = term;
-    this->hard.votedFor = ReplicaId::None;
-    this->hardChanged = true;
+    this->hardState.term = term;
+    this->hardState.votedFor = ReplicaId::None;
+    this->hardStateChanged = true;
 }
 
 void RaftCore::becomeFollower(std::uint64_t term, ReplicaId newLeader)
@@ -330,15 +332,15 @@
     this->currentRole = ReplicaRole::Follower;
     this->isPreCandidate = false;
     this->currentLeader = newLeader;
-    this->electionAt = this->afterElectionTimeout();
+    this->electionAt = this->randomElectionDeadline();
     this->votes.clear();
     this->progress.clear();
     this->noOpIndex = 0;
     this->transferTarget = ReplicaId::None;
-    this->successorTold = false;
+    this->timeoutNowSent = false;
 }
 
-Instant RaftCore::afterElectionTimeout()
+Instant RaftCore::randomElectionDeadline()
 {
     const auto least = this->options.electionMin.count();
     const auto spread = this->options.electionMax.count() - least + 1;
@@ -352,7 +354,7 @@
         && (message.to == this->own || message.to == ReplicaId::None);
 }
 
-void RaftCore::breakInvariant(std::string message)
+void RaftCore::reportInvariantViolation(std::string message)
 {
     this->pending.fault = failure(ErrorCode::Internal, std::move(message));
 }
--- a/src/replicas/raftcore.h
+++ b/src/replicas/raftcore.h
@@ -21,15 +21,15 @@
 
 namespace guavavalve {
 
-/// The consensus itself, without any I/O, clock or thread: messages, proposals and the time go
-/// in; messages, what to store, and committed entries come out.
+/// The Raft state machine, without I/O, clock or threads. Its inputs are messages, proposals and
+/// the current time; its outputs are messages, data to store, and committed entries.
 ///
-/// Raft: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014);
-/// from Ongaro's thesis (2014) membership by one server at a time (4.1-4.2), leadership
-/// transfer (3.10), the leader's lease (6.4.1), clients' step-down rule (6.2) and pre-vote (9.6).
+/// Raft: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); from
+/// Ongaro's thesis (2014): single-server membership changes (4.1-4.2), leadership transfer (3.10),
+/// leader lease (6.4.1), step-down of a leader without a quorum (6.2) and pre-vote (9.6).
 ///
-/// After each call of an input, the caller takes output(), does what it says in its order, and
-/// calls persisted() once the batch is synced.
+/// After each input, the caller takes the output with takeOutput(), carries it out in the order of
+/// its members, and calls persisted() once the batch has been synced.
 class RaftCore
 {
 public:
@@ -37,56 +37,61 @@
 
     // Inputs.
     void tick(Instant now);
-    /// \a token comes back as OutgoingMessage::replyTo if \a message is a request.
+    /// \a token is returned in OutgoingMessage::replyTo if \a message is a request.
     void receive(RaftMessage message, std::uint64_t token, Instant now);
-    /// What was last sent to \a replica got no answer.
+    /// The last message to \a replica could not be delivered or got no reply.
     void unreachable(ReplicaId replica, Instant now);
-    /// Everything in the last output's batch and snapshot is synced.
+    /// The batch and the snapshot of the last output have been synced.
     void persisted();
-    /// A snapshot has been saved here: entries before it may go.
+    /// A snapshot has been saved; entries that it covers may be dropped.
     void compact(const SnapshotMeta &meta);
 
-    /// \errors NotLeader; Unavailable while leadership is being handed over.
+    /// \errors NotLeader; Unavailable while leadership is being transferred.
     Result<LogIndex> propose(std::string command);
-    /// \errors Conflict if formed; InvalidArgument if \a list lacks this replica as a voter.
+    /// \errors Conflict if already formed; InvalidArgument if \a list lacks this replica as a
+    /// voter.
     Result<LogIndex> form(const MemberList &list, Instant now);
-    /// \errors NotLeader; Conflict if it is a member; Unavailable while another change is open.
+    /// \errors NotLeader; Conflict if already a member; Unavailable while another change is in
+    /// progress.
     Result<LogIndex> addLearner(MemberRecord member);
-    /// \errors NotLeader; NotFound; InvalidArgument for the last voter; Unavailable as above.
+    /// \errors NotLeader; NotFound; InvalidArgument for the last voter; Unavailable as for
+    /// addLearner().
     Result<LogIndex> removeInstance(const InstanceId &instance);
-    /// \errors NotLeader; Unavailable if nobody can take over or a hand-over is under way.
+    /// \errors NotLeader; Unavailable if no voter can take over or a transfer is already in
+    /// progress.
     Result<void> transferLeadership(Instant now);
 
     // Outputs.
     RaftOutput takeOutput();
-    /// Committed entries not yet handed out, at least one if there is any, else at most
-    /// \a maxBytes.
+    /// Takes the next committed entries that have not been delivered yet: at most \a maxBytes, but
+    /// at least one entry if there is any.
     std::vector<LogEntry> takeCommitted(std::size_t maxBytes);
 
     // State.
     ReplicaId self() const { return this->own; }
     ReplicaRole role() const;
-    bool isFormed() const { return this->hard.formation != 0; }
-    std::uint64_t formation() const { return this->hard.formation; }
-    std::uint64_t term() const { return this->hard.term; }
+    bool isFormed() const { return this->hardState.formation != 0; }
+    std::uint64_t formation() const { return this->hardState.formation; }
+    std::uint64_t term() const { return this->hardState.term; }
     ReplicaId leader() const { return this->currentLeader; }
-    LogIndex committed() const { return this->commit; }
-    LogIndex lastDelivered() const { return this->delivered; }
-    /// The leader's own first entry of its term; zero if this replica does not lead.
+    LogIndex committed() const { return this->commitIndex; }
+    LogIndex lastDelivered() const { return this->deliveredIndex; }
+    /// The index of the first entry that this leader appended in its term; zero if this replica is
+    /// not the leader.
     LogIndex firstIndexOfTerm() const { return this->noOpIndex; }
     const RaftLog &entries() const { return this->log; }
-    const MemberList &members() const { return this->history.back().list; }
-    /// Members by the last committed list.
+    const MemberList &members() const { return this->memberHistory.back().list; }
+    /// The members according to the last committed list.
     const MemberList &committedMembers() const;
-    /// The list in force at \a index, which must not be before the log's base.
+    /// The list that applies at \a index, which must not be before the log's base.
     const MemberList &membersAt(LogIndex index) const;
     const std::map<ReplicaId, Progress> &followers() const { return this->progress; }
-    /// As a leader that may change members now: a voter that has not answered for \a goneAfter
-    /// and that no learner is to replace yet.
-    std::optional<MemberRecord> findUnresponsiveVoter(Milliseconds goneAfter) const;
+    /// Returns a voter that has not replied within \a timeout and that no learner is to replace
+    /// yet. Empty unless this replica is a leader that may change the membership now.
+    std::optional<MemberRecord> findUnresponsiveVoter(Milliseconds timeout) const;
     bool isTransferring() const { return this->transferTarget != ReplicaId::None; }
     bool isSendingSnapshot() const;
-    /// No other replica can lead before this instant; the epoch if that is not known.
+    /// No other replica can become leader before this instant; the epoch if there is no lease.
     Instant leaseUntil() const;
 
 private:
@@ -97,7 +102,7 @@
     };
 
     // raftcore.cpp
-    RaftMessage envelope(ReplicaId to, RaftBody body) const;
+    RaftMessage makeMessage(ReplicaId to, RaftBody body) const;
     void reply(const RaftMessage &request, std::uint64_t token, RaftBody body);
     void sendTo(const MemberRecord &member, RaftBody body, bool beforeSync,
                 std::size_t chunkBytes = 0);
@@ -106,19 +111,19 @@
     void truncateFrom(LogIndex index);
     void setTerm(std::uint64_t term);
     void becomeFollower(std::uint64_t term, ReplicaId leader);
-    Instant afterElectionTimeout();
+    Instant randomElectionDeadline();
     bool isAddressedHere(const RaftMessage &message) const;
-    void breakInvariant(std::string message);
+    void reportInvariantViolation(std::string message);
     void dispatch(const RaftMessage &message, std::uint64_t token);
-    void fromLeader(const RaftMessage &message, std::uint64_t token);
+    void handleLeaderMessage(const RaftMessage &message, std::uint64_t token);
 
     // raftelection.cpp
-    bool mayStand() const;
+    bool canCampaign() const;
     void startPreVote();
-    void askEarly();
-    void onEarlyReply(ReplicaId from, const VoteReply &answer);
-    VoteReply earlyReply(const RaftMessage &message, const VoteRequest &request) const;
-    bool isFresh() const;
+    void requestStartupPreVotes();
+    void onStartupPreVoteReply(ReplicaId from, const VoteReply &answer);
+    VoteReply startupPreVoteReply(const RaftMessage &message, const VoteRequest &request) const;
+    bool awaitsFirstLeader() const;
     void startElection(bool transfer);
     void becomeLeader();
     void requestVotes(bool preVote, bool transfer);
@@ -126,7 +131,7 @@
     void onVoteRequest(const RaftMessage &message, const VoteRequest &request, std::uint64_t token);
     void onVoteReply(const RaftMessage &message, const VoteReply &answer);
     void onTimeoutNow(const RaftMessage &message);
-    bool hearsLeader() const;
+    bool hasRecentLeader() const;
     void onFormRequest(const RaftMessage &message, const FormRequest &request, std::uint64_t token);
     bool isFirstEntry(const LogEntry &entry, std::uint64_t formation) const;
     void adoptFormation(std::uint64_t formation);
@@ -138,7 +143,7 @@
                             std::uint64_t token);
     void onSnapshotRequest(const RaftMessage &message, const SnapshotRequest &request,
                            std::uint64_t token);
-    bool receivePiece(const SnapshotRequest &request);
+    bool receiveChunk(const SnapshotRequest &request);
     void installSnapshot();
     LogIndex retryIndex(LogIndex previous) const;
     void advanceFollowerCommit(LogIndex index);
@@ -149,14 +154,14 @@
     void sendEntries();
     void sendEntriesTo(const MemberRecord &member, Progress &peer);
     bool sendBatch(const MemberRecord &member, Progress &peer);
-    void sendPiece(const MemberRecord &member, Progress &peer);
+    void sendChunk(const MemberRecord &member, Progress &peer);
     void startSnapshot(Progress &peer);
-    Progress *answered(const RaftMessage &message, std::int64_t sentAt);
+    Progress *recordReply(const RaftMessage &message, std::int64_t sentAt);
     void onAppendReply(const RaftMessage &message, const AppendReply &answer);
     void onHeartbeatReply(const RaftMessage &message, const HeartbeatReply &answer);
     void onSnapshotReply(const RaftMessage &message, const SnapshotReply &answer);
     void advanceCommit();
-    Instant quorumInstant() const;
+    Instant quorumContactTime() const;
     void finishTransfer();
 
     // raftmembership.cpp
@@ -174,23 +179,23 @@
     ReplicaId own;
     Instant now;
 
-    HardState hard;
+    HardState hardState;
     RaftLog log;
-    std::deque<MembersAt> history; ///< the list at the log's base and every one after it
-    LogIndex commit = 0;
-    LogIndex delivered = 0;
-    LogIndex stored = 0;
-    SnapshotMeta snapshot; ///< the newest saved here
+    std::deque<MembersAt> memberHistory; ///< the list at the log's base and all later ones
+    LogIndex commitIndex = 0;
+    LogIndex deliveredIndex = 0;
+    LogIndex syncedIndex = 0;
+    SnapshotMeta snapshot; ///< the newest one saved by this replica
 
     ReplicaRole currentRole = ReplicaRole::Follower;
     bool isPreCandidate = false;
     ReplicaId currentLeader = ReplicaId::None;
-    Instant heardLeaderAt;
+    Instant lastLeaderContact;
     Instant electionAt;
     std::set<ReplicaId> votes;
-    std::uint64_t freshStart = 0; ///< names this start, until a leader is heard or an election won
-    Instant earlyAt{}; ///< the next early pre-vote
-    std::map<ReplicaId, std::uint64_t> earlyGrants; ///< by voter, with the start that gave it
+    std::uint64_t startupId = 0; ///< ID of this process start; 0 once a leader is known
+    Instant startupPreVoteAt{}; ///< when to send the next startup pre-vote
+    std::map<ReplicaId, std::uint64_t> startupGrants; ///< voter to the startup ID in its grant
 
     std::map<ReplicaId, Progress> progress;
     LogIndex noOpIndex = 0;
@@ -198,13 +203,13 @@
     Instant heartbeatAt{};
     ReplicaId transferTarget = ReplicaId::None;
     Instant transferUntil{};
-    bool successorTold = false;
+    bool timeoutNowSent = false;
 
     SnapshotMeta incomingMeta;
-    std::string incoming;
+    std::string incomingState;
 
     RaftOutput pending;
-    bool hardChanged = false;
+    bool hardStateChanged = false;
 };
 
 } // namespace guavavalve
--- a/src/replicas/raftcoreoptions.h
+++ b/src/replicas/raftcoreoptions.h
@@ -10,7 +10,7 @@
 
 namespace guavavalve {
 
-/// Settings of a RaftCore; RaftOptions says what they mean.
+/// Settings of a RaftCore; documented in RaftOptions.
 struct RaftCoreOptions
 {
     InstanceId instance;
--- a/src/replicas/raftelection.cpp
+++ b/src/replicas/raftelection.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-// Elections and the group's one formation.
+// Elections and the initial formation of the group.
 
 namespace guavavalve {
 
@@ -18,58 +18,60 @@
 } // namespace
 
 /// A voter whose removal is not known to be committed may still be needed: if it has the longest
-/// log, nobody else can win (thesis, 4.2.2). It does not count its own vote then.
-bool RaftCore::mayStand() const
+/// log, no other replica can win an election (thesis, 4.2.2). It does not count its own vote in
+/// that case.
+bool RaftCore::canCampaign() const
 {
     if (this->members().isVoter(this->own))
         return true;
-    const std::size_t lists = this->history.size();
-    return lists > 1 && this->history.back().index > this->commit
-        && this->history[lists - 2].list.isVoter(this->own);
+    const std::size_t lists = this->memberHistory.size();
+    return lists > 1 && this->memberHistory.back().index > this->commitIndex
+        && this->memberHistory[lists - 2].list.isVoter(this->own);
 }
 
-/// Asks first whether an election could be won, without touching any term (thesis, 9.6).
+/// Asks the voters whether an election could be won, without increasing any term (thesis, 9.6).
 ///
-/// Guards against a replica that was cut off for long: its term would have grown with every
-/// vain election, and on its return it would depose a healthy leader. Pre-vote leaves its term
-/// as it was, and the others refuse while they hear their leader.
+/// A replica that has been partitioned for a long time would otherwise increase its term with every
+/// failed election and, on its return, depose a healthy leader. With pre-vote its term does not
+/// change, and the other voters refuse while they hear from their leader.
 void RaftCore::startPreVote()
 {
     this->currentRole = ReplicaRole::Candidate;
     this->isPreCandidate = true;
     this->currentLeader = ReplicaId::None;
-    this->electionAt = this->afterElectionTimeout();
+    this->electionAt = this->randomElectionDeadline();
     this->votes = {this->own};
     this->countVotes(true);
     if (this->isPreCandidate)
         this->requestVotes(true, false);
 }
 
-/// This replica has just started and no leader has been heard since.
-bool RaftCore::isFresh() const
+/// Whether this replica has not heard from a leader since it started.
+bool RaftCore::awaitsFirstLeader() const
 {
-    return this->freshStart != 0 && this->currentRole != ReplicaRole::Leader;
+    return this->startupId != 0 && this->currentRole != ReplicaRole::Leader;
 }
 
-/// Asks all voters whether they too follow nobody.
+/// Asks all voters whether they have no leader either, in a startup pre-vote.
 ///
-/// Guards against a whole election timeout without a leader after all replicas were restarted:
-/// callers saw 0.5 to 1 s more of silence than the restart took. A voter that starts waits, since
-/// it may have promised a leader not to vote for another. If every voter says that it neither leads
-/// nor has heard a leader since it started, there is none to whom the promise could matter, and an
-/// election is held at once. Each voter grants this only to a replica that comes after itself, by
-/// the end of its log and then by its identity; so only one is granted it by all.
-void RaftCore::askEarly()
+/// Avoids a full election timeout without a leader after all replicas have been restarted, which
+/// clients saw as 0.5 to 1 s of additional unavailability. A voter waits after a start, since it
+/// may have promised a leader not to vote for another one. If every voter reports that it neither
+/// leads nor has heard from a leader since it started, no such promise can matter and an election
+/// is held at once. Each voter grants this only to a replica that is ordered after itself, by the
+/// last term and index of the log and then by replica ID, so that at most one replica is granted it
+/// by all.
+void RaftCore::requestStartupPreVotes()
 {
-    this->earlyAt = this->now + this->options.heartbeat;
+    this->startupPreVoteAt = this->now + this->options.heartbeat;
     if (!this->members().isVoter(this->own))
         return;
-    this->earlyGrants.clear();
-    this->earlyGrants[this->own] = this->freshStart;
+    this->startupGrants.clear();
+    this->startupGrants[this->own] = this->startupId;
     VoteRequest request;
     request.preVote = true;
-    request.isEarly = true;
-    request.forTerm = this->hard.term + 1;
+    request.isStartupPreVote = true;
+    request.forTerm = this->hardState.term + 1;
     request.lastIndex = this->log.lastIndex();
     request.lastTerm = this->log.lastTerm();
     for (const MemberRecord &member : this->members().members) {
@@ -78,25 +80,27 @@
     }
 }
 
-VoteReply RaftCore::earlyReply(const RaftMessage &message, const VoteRequest &request) const
+VoteReply RaftCore::startupPreVoteReply(const RaftMessage &message,
+                                        const VoteRequest &request) const
 {
     VoteReply answer;
     answer.preVote = true;
     answer.forTerm = request.forTerm;
     const auto theirs = std::make_tuple(request.lastTerm, request.lastIndex, message.from);
     const auto ours = std::make_tuple(this->log.lastTerm(), this->log.lastIndex(), this->own);
-    answer.granted = this->isFresh() && theirs > ours && request.forTerm > this->hard.term;
-    answer.freshStart = answer.granted ? this->freshStart : 0;
+    answer.granted =
+        this->awaitsFirstLeader() && theirs > ours && request.forTerm > this->hardState.term;
+    answer.startupId = answer.granted ? this->startupId : 0;
     return answer;
 }
 
-void RaftCore::onEarlyReply(ReplicaId from, const VoteReply &answer)
+void RaftCore::onStartupPreVoteReply(ReplicaId from, const VoteReply &answer)
 {
-    if (!answer.granted || !this->isFresh() || answer.forTerm != this->hard.term + 1)
+    if (!answer.granted || !this->awaitsFirstLeader() || answer.forTerm != this->hardState.term + 1)
         return;
-    this->earlyGrants[from] = answer.freshStart;
+    this->startupGrants[from] = answer.startupId;
     for (const MemberRecord &member : this->members().members) {
-        if (member.voter && this->earlyGrants.count(member.replica) == 0)
+        if (member.voter && this->startupGrants.count(member.replica) == 0)
             return;
     }
     this->startElection(false);
@@ -104,13 +108,13 @@
 
 void RaftCore::startElection(bool transfer)
 {
-    this->setTerm(this->hard.term + 1);
-    this->hard.votedFor = this->own;
-    this->hardChanged = true;
+    this->setTerm(this->hardState.term + 1);
+    this->hardState.votedFor = this->own;
+    this->hardStateChanged = true;
     this->currentRole = ReplicaRole::Candidate;
     this->isPreCandidate = false;
     this->currentLeader = ReplicaId::None;
-    this->electionAt = this->afterElectionTimeout();
+    this->electionAt = this->randomElectionDeadline();
     this->votes = {this->own};
     this->countVotes(false);
     if (this->currentRole == ReplicaRole::Candidate)
@@ -122,17 +126,17 @@
     VoteRequest request;
     request.preVote = preVote;
     request.transfer = transfer;
-    request.forTerm = preVote ? this->hard.term + 1 : this->hard.term;
+    request.forTerm = preVote ? this->hardState.term + 1 : this->hardState.term;
     request.lastIndex = this->log.lastIndex();
     request.lastTerm = this->log.lastTerm();
     for (const MemberRecord &member : this->members().members) {
         if (!member.voter || member.replica == this->own)
             continue;
-        const auto early = this->earlyGrants.find(member.replica);
-        request.freshStart = preVote || early == this->earlyGrants.end() ? 0 : early->second;
+        const auto grant = this->startupGrants.find(member.replica);
+        request.startupId = preVote || grant == this->startupGrants.end() ? 0 : grant->second;
         this->sendTo(member, request, false);
     }
-    this->earlyGrants.clear();
+    this->startupGrants.clear();
 }
 
 void RaftCore::countVotes(bool preVote)
@@ -151,65 +155,68 @@
 void RaftCore::becomeLeader()
 {
     this->currentRole = ReplicaRole::Leader;
-    this->freshStart = 0;
+    this->startupId = 0;
     this->currentLeader = this->own;
     this->leadsSince = this->now;
     this->heartbeatAt = this->now + this->options.heartbeat;
     this->progress.clear();
     this->trackMembers();
     this->sendHeartbeats();
-    // Entries of earlier terms commit only beneath one of this term (2014 paper, 5.4.2).
+    // Entries of earlier terms are committed only through an entry of the current term (2014 paper,
+    // 5.4.2).
     this->noOpIndex = this->log.lastIndex() + 1;
-    this->appendEntry({this->noOpIndex, this->hard.term, EntryKind::NoOp, {}});
+    this->appendEntry({this->noOpIndex, this->hardState.term, EntryKind::NoOp, {}});
 }
 
-/// While a leader is heard, nobody votes for another (thesis, 4.2.3 and 6.4.1): a removed or
-/// returning replica deposes no one, and the leader's lease holds.
-bool RaftCore::hearsLeader() const
+/// While a voter hears from a leader, it votes for no other replica (thesis, 4.2.3 and 6.4.1). A
+/// removed or returning replica therefore cannot depose the leader, and the leader's lease holds.
+bool RaftCore::hasRecentLeader() const
 {
     return this->currentRole == ReplicaRole::Leader
-        || this->now < this->heardLeaderAt + this->options.electionMin;
+        || this->now < this->lastLeaderContact + this->options.electionMin;
 }
 
 void RaftCore::onVoteRequest(const RaftMessage &message, const VoteRequest &request,
                              std::uint64_t token)
 {
-    if (request.isEarly) {
-        this->reply(message, token, this->earlyReply(message, request));
+    if (request.isStartupPreVote) {
+        this->reply(message, token, this->startupPreVoteReply(message, request));
         return;
     }
     VoteReply answer;
     answer.preVote = request.preVote;
     answer.forTerm = request.forTerm;
-    // A waiver holds for the start that gave it, as long as that has heard no leader since: a voter
-    // that has, or has been restarted after it had, may have promised that leader to wait.
-    const bool isWaived = this->isFresh() && request.freshStart == this->freshStart;
-    const bool waits = this->hearsLeader() && !request.transfer && !isWaived;
+    // The wait is waived only for the process start that granted the startup pre-vote, and only
+    // until it hears from a leader: a voter that has heard from one, or has restarted since, may
+    // have promised that leader to wait.
+    const bool isWaived = this->awaitsFirstLeader() && request.startupId == this->startupId;
+    const bool refuses = this->hasRecentLeader() && !request.transfer && !isWaived;
     const auto last = std::make_pair(this->log.lastTerm(), this->log.lastIndex());
     const bool isUpToDate = std::make_pair(request.lastTerm, request.lastIndex) >= last;
     if (request.preVote) {
-        answer.granted = !waits && isUpToDate && request.forTerm > this->hard.term;
-    } else if (!waits && request.forTerm >= this->hard.term) {
-        if (request.forTerm > this->hard.term)
+        answer.granted = !refuses && isUpToDate && request.forTerm > this->hardState.term;
+    } else if (!refuses && request.forTerm >= this->hardState.term) {
+        if (request.forTerm > this->hardState.term)
             this->becomeFollower(request.forTerm, ReplicaId::None);
-        const ReplicaId vote = this->hard.votedFor;
+        const ReplicaId vote = this->hardState.votedFor;
         answer.granted = isUpToDate && (vote == ReplicaId::None || vote == message.from);
     }
     if (answer.granted && !request.preVote) {
-        this->hardChanged = this->hardChanged || this->hard.votedFor != message.from;
-        this->hard.votedFor = message.from;
-        this->electionAt = this->afterElectionTimeout();
+        this->hardStateChanged = this->hardStateChanged || this->hardState.votedFor != message.from;
+        this->hardState.votedFor = message.from;
+        this->electionAt = this->randomElectionDeadline();
     }
     this->reply(message, token, answer);
 }
 
 void RaftCore::onVoteReply(const RaftMessage &message, const VoteReply &answer)
 {
-    if (answer.freshStart != 0) {
-        this->onEarlyReply(message.from, answer);
+    if (answer.startupId != 0) {
+        this->onStartupPreVoteReply(message.from, answer);
         return;
     }
-    const std::uint64_t wanted = this->isPreCandidate ? this->hard.term + 1 : this->hard.term;
+    const std::uint64_t wanted =
+        this->isPreCandidate ? this->hardState.term + 1 : this->hardState.term;
     const bool isAwaited = this->currentRole == ReplicaRole::Candidate
         && answer.preVote == this->isPreCandidate && answer.forTerm == wanted;
     if (!isAwaited || !answer.granted)
@@ -231,7 +238,7 @@
         return failure(ErrorCode::Conflict, "the group has been formed already");
     if (!list.isVoter(this->own) || list.formation == 0) {
         return failure(ErrorCode::InvalidArgument,
-                       "the first members must include the instance that forms the group");
+                       "the initial members must include the instance that forms the group");
     }
     this->adoptFormation(list.formation);
     this->setTerm(firstTerm);
@@ -240,15 +247,17 @@
     return firstIndex;
 }
 
-/// Joins a formation, once: a replica that has been formed refuses another
-/// formation, so two operators who form two groups at once cannot both get a quorum.
+/// Joins the group that the sender has formed. A replica that already belongs to a formation
+/// refuses any other, so two operators who form two groups at the same time cannot both get a
+/// quorum.
 void RaftCore::onFormRequest(const RaftMessage &message, const FormRequest &request,
                              std::uint64_t token)
 {
-    const bool isFresh = !this->isFormed() && this->log.lastIndex() == 0 && message.formation != 0;
-    if (isFresh && (!request.first || this->isFirstEntry(*request.first, message.formation))) {
+    const bool isUnformed =
+        !this->isFormed() && this->log.lastIndex() == 0 && message.formation != 0;
+    if (isUnformed && (!request.first || this->isFirstEntry(*request.first, message.formation))) {
         this->adoptFormation(message.formation);
-        this->setTerm(std::max(this->hard.term, firstTerm));
+        this->setTerm(std::max(this->hardState.term, firstTerm));
         if (request.first)
             this->appendEntry(*request.first);
     }
@@ -264,9 +273,9 @@
 
 void RaftCore::adoptFormation(std::uint64_t formation)
 {
-    this->hard.formation = formation;
-    this->hardChanged = true;
-    this->electionAt = this->afterElectionTimeout();
+    this->hardState.formation = formation;
+    this->hardStateChanged = true;
+    this->electionAt = this->randomElectionDeadline();
 }
 
 } // namespace guavavalve
--- a/src/replicas/raftfollower.cpp
+++ b/src/replicas/raftfollower.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-// What a follower does with its leader's entries and snapshots.
+// Handling of entries, heartbeats and snapshots from the leader.
 
 namespace guavavalve {
 
@@ -17,7 +17,7 @@
     answer.previousIndex = request.previousIndex;
     answer.sentAt = request.sentAt;
     const auto previousTerm = this->log.termAt(request.previousIndex);
-    // Before the base everything is committed, and so agrees with any leader's log.
+    // Entries before the base are committed and therefore match any leader's log.
     const bool agrees = request.previousIndex < this->log.baseIndex()
         || (previousTerm && *previousTerm == request.previousTerm);
     if (!agrees) {
@@ -28,14 +28,14 @@
     LogIndex expected = request.previousIndex;
     for (const LogEntry &entry : request.entries) {
         if (entry.index != ++expected)
-            return; // not what a leader sends: drop it
+            return; // not contiguous: no leader sends this, so the message is dropped
         if (entry.index <= this->log.baseIndex())
             continue;
         const auto term = this->log.termAt(entry.index);
         if (term && *term == entry.term)
             continue;
-        if (entry.index <= this->commit) {
-            this->breakInvariant("a leader's log disagrees with a committed entry");
+        if (entry.index <= this->commitIndex) {
+            this->reportInvariantViolation("the leader's log conflicts with a committed entry");
             return;
         }
         if (term)
@@ -48,21 +48,21 @@
     this->reply(message, token, answer);
 }
 
-/// Skips a whole term at a time when logs disagree (2014 paper, end of 5.3).
+/// Skips a whole term at a time when the logs conflict (2014 paper, end of 5.3).
 LogIndex RaftCore::retryIndex(LogIndex previous) const
 {
     if (previous > this->log.lastIndex())
         return this->log.lastIndex() + 1;
     const auto term = this->log.termAt(previous);
     LogIndex index = previous;
-    while (index > this->commit + 1 && this->log.termAt(index - 1) == term)
+    while (index > this->commitIndex + 1 && this->log.termAt(index - 1) == term)
         --index;
     return index;
 }
 
 void RaftCore::advanceFollowerCommit(LogIndex index)
 {
-    this->commit = std::max(this->commit, std::min(index, this->log.lastIndex()));
+    this->commitIndex = std::max(this->commitIndex, std::min(index, this->log.lastIndex()));
 }
 
 void RaftCore::onHeartbeatRequest(const RaftMessage &message, const HeartbeatRequest &request,
@@ -79,54 +79,55 @@
     answer.index = request.meta.index;
     answer.checksum = request.meta.checksum;
     answer.sentAt = request.sentAt;
-    if (request.meta.index <= this->commit) {
+    if (request.meta.index <= this->commitIndex) {
         answer.installed = true;
-    } else if (this->receivePiece(request)) {
+    } else if (this->receiveChunk(request)) {
         this->installSnapshot();
-        answer.installed = this->commit >= request.meta.index;
+        answer.installed = this->commitIndex >= request.meta.index;
     }
-    answer.nextOffset = this->incoming.size();
+    answer.nextOffset = this->incomingState.size();
     this->reply(message, token, answer);
 }
 
-/// True once the snapshot is whole. A piece that does not continue what is here changes nothing;
-/// the reply's offset tells the leader where to go on, also a new leader with the same bytes.
-bool RaftCore::receivePiece(const SnapshotRequest &request)
+/// Returns true once the snapshot is complete. A chunk that does not continue the received bytes is
+/// ignored; the offset in the reply tells the leader where to resume. A new leader that sends the
+/// same bytes resumes there as well.
+bool RaftCore::receiveChunk(const SnapshotRequest &request)
 {
     if (!this->incomingMeta.sameBytes(request.meta)) {
         this->incomingMeta = request.meta;
-        this->incoming.clear();
+        this->incomingState.clear();
     }
     const bool fits = request.meta.size <= this->options.maxSnapshotBytes
-        && request.chunk.size() <= request.meta.size - this->incoming.size();
-    if (request.offset != this->incoming.size() || !fits)
+        && request.chunk.size() <= request.meta.size - this->incomingState.size();
+    if (request.offset != this->incomingState.size() || !fits)
         return false;
-    this->incoming += request.chunk;
-    if (this->incoming.size() < request.meta.size)
+    this->incomingState += request.chunk;
+    if (this->incomingState.size() < request.meta.size)
         return false;
-    if (checksumOf(this->incoming) == request.meta.checksum)
+    if (checksumOf(this->incomingState) == request.meta.checksum)
         return true;
-    this->incoming.clear(); // damaged on its way: from the start
+    this->incomingState.clear(); // corrupted in transit: restart the transfer
     return false;
 }
 
 void RaftCore::installSnapshot()
 {
     const SnapshotMeta meta = std::exchange(this->incomingMeta, {});
-    std::string state = std::exchange(this->incoming, {});
+    std::string state = std::exchange(this->incomingState, {});
     auto list = decode<MemberList>(meta.members);
     if (!list)
         return;
     if (this->log.termAt(meta.index) == meta.term) {
-        // The entries up to it are all here: nothing to replace, they are only committed now.
+        // All entries that the snapshot covers are in the log: they only become committed.
         this->advanceFollowerCommit(meta.index);
         return;
     }
     this->log.reset(meta.index, meta.term);
-    this->history.assign(1, {meta.index, std::move(list).value()});
-    this->commit = meta.index;
-    this->delivered = meta.index;
-    this->stored = meta.index;
+    this->memberHistory.assign(1, {meta.index, std::move(list).value()});
+    this->commitIndex = meta.index;
+    this->deliveredIndex = meta.index;
+    this->syncedIndex = meta.index;
     this->snapshot = meta;
     this->pending.batch.entries.clear();
     this->pending.batch.resetTo = meta.index;
--- a/src/replicas/raftleader.cpp
+++ b/src/replicas/raftleader.cpp
@@ -3,25 +3,26 @@
 #include <algorithm>
 #include <utility>
 
-// What a leader does for its followers.
+// Replication, commit, lease and leadership transfer on the leader.
 
 namespace guavavalve {
 
 namespace {
 
-/// The lease ends this much earlier than the followers' wait, for clocks that drift apart.
+/// Length of the lease as a percentage of the followers' minimum election timeout. The margin
+/// covers clock drift between replicas.
 constexpr int leasePercent = 90;
 
 } // namespace
 
 void RaftCore::leaderTick()
 {
-    // Guards against a leader that is cut off: it would go on answering from a state that the
-    // others have moved on from. Once no quorum has answered for an election timeout it steps
-    // down; its lease has ended before that.
-    const Instant contact = std::max(this->quorumInstant(), this->leadsSince);
+    // A partitioned leader would otherwise keep answering from a state that the other replicas have
+    // moved on from. It steps down once no quorum has replied for an election timeout; its lease
+    // has expired before that.
+    const Instant contact = std::max(this->quorumContactTime(), this->leadsSince);
     if (this->now > contact + this->options.electionMax) {
-        this->becomeFollower(this->hard.term, ReplicaId::None);
+        this->becomeFollower(this->hardState.term, ReplicaId::None);
         return;
     }
     if (this->now >= this->heartbeatAt) {
@@ -39,7 +40,7 @@
         if (peer == this->progress.end())
             continue;
         HeartbeatRequest request;
-        request.committed = std::min(this->commit, peer->second.match);
+        request.committed = std::min(this->commitIndex, peer->second.match);
         request.sentAt = this->now.time_since_epoch().count();
         this->sendTo(member, request, true);
     }
@@ -56,8 +57,8 @@
 
 void RaftCore::sendEntriesTo(const MemberRecord &member, Progress &peer)
 {
-    const bool waits = peer.awaiting || !peer.inFlight.empty();
-    if (waits && this->now >= peer.stalledAt) {
+    const bool awaitsReply = peer.awaitingReply || !peer.inFlight.empty();
+    if (awaitsReply && this->now >= peer.replyDeadline) {
         peer.clearInFlight();
         if (peer.state == Progress::State::Replicate)
             peer.state = Progress::State::Probe;
@@ -70,12 +71,12 @@
         this->startSnapshot(peer);
     switch (peer.state) {
     case Progress::State::Snapshot:
-        if (!peer.awaiting)
-            this->sendPiece(member, peer);
+        if (!peer.awaitingReply)
+            this->sendChunk(member, peer);
         break;
     case Progress::State::Probe:
-        if (!peer.awaiting)
-            peer.awaiting = this->sendBatch(member, peer);
+        if (!peer.awaitingReply)
+            peer.awaitingReply = this->sendBatch(member, peer);
         break;
     case Progress::State::Replicate:
         while (peer.next <= this->log.lastIndex()
@@ -91,11 +92,11 @@
     AppendRequest request;
     request.previousIndex = peer.next - 1;
     request.previousTerm = this->log.termAt(request.previousIndex).value_or(0);
-    request.committed = this->commit;
+    request.committed = this->commitIndex;
     request.sentAt = this->now.time_since_epoch().count();
     request.entries = this->log.read(peer.next, this->log.lastIndex(), this->options.maxBatchBytes);
     if (peer.inFlight.empty())
-        peer.stalledAt = this->now + 2 * this->options.electionMax;
+        peer.replyDeadline = this->now + 2 * this->options.electionMax;
     if (peer.state == Progress::State::Replicate) {
         std::size_t bytes = 0;
         for (const LogEntry &entry : request.entries)
@@ -116,18 +117,18 @@
     peer.snapshotOffset = 0;
 }
 
-void RaftCore::sendPiece(const MemberRecord &member, Progress &peer)
+void RaftCore::sendChunk(const MemberRecord &member, Progress &peer)
 {
     if (!peer.snapshot.sameBytes(this->snapshot))
-        this->startSnapshot(peer); // the old one's file is gone
+        this->startSnapshot(peer); // the file of the previous snapshot has been deleted
     SnapshotRequest request;
     request.meta = peer.snapshot;
     request.offset = peer.snapshotOffset;
     request.sentAt = this->now.time_since_epoch().count();
     const std::uint64_t left = peer.snapshot.size - peer.snapshotOffset;
     const auto bytes = std::min<std::uint64_t>(left, this->options.snapshotChunkBytes);
-    peer.awaiting = true;
-    peer.stalledAt = this->now + 2 * this->options.electionMax;
+    peer.awaitingReply = true;
+    peer.replyDeadline = this->now + 2 * this->options.electionMax;
     this->sendTo(member, std::move(request), true, static_cast<std::size_t>(bytes));
 }
 
@@ -141,33 +142,33 @@
     peer.clearInFlight();
     peer.pausedUntil = this->now + this->options.heartbeat;
     if (peer.state == Progress::State::Snapshot)
-        return; // goes on from the same offset
+        return; // resumes at the same offset
     peer.state = Progress::State::Probe;
     peer.next = peer.match + 1;
 }
 
-Progress *RaftCore::answered(const RaftMessage &message, std::int64_t sentAt)
+Progress *RaftCore::recordReply(const RaftMessage &message, std::int64_t sentAt)
 {
     const auto found = this->progress.find(message.from);
     if (this->currentRole != ReplicaRole::Leader || found == this->progress.end())
         return nullptr;
     Progress &peer = found->second;
     const Instant sent{Microseconds(sentAt)};
-    peer.answeredAt = this->now;
-    peer.foundInstead = ReplicaId::None;
+    peer.lastReplyAt = this->now;
+    peer.replacement = ReplicaId::None;
     if (sent <= this->now)
-        peer.leaseFrom = std::max(peer.leaseFrom, sent);
+        peer.lastAckedSendTime = std::max(peer.lastAckedSendTime, sent);
     return &peer;
 }
 
 void RaftCore::onHeartbeatReply(const RaftMessage &message, const HeartbeatReply &answer)
 {
-    this->answered(message, answer.sentAt);
+    this->recordReply(message, answer.sentAt);
 }
 
 void RaftCore::onAppendReply(const RaftMessage &message, const AppendReply &answer)
 {
-    Progress *peer = this->answered(message, answer.sentAt);
+    Progress *peer = this->recordReply(message, answer.sentAt);
     if (peer == nullptr || answer.matchIndex > this->log.lastIndex())
         return;
     if (!answer.accepted) {
@@ -182,7 +183,7 @@
         return;
     }
     peer->match = std::max(peer->match, answer.matchIndex);
-    peer->stalledAt = this->now + 2 * this->options.electionMax;
+    peer->replyDeadline = this->now + 2 * this->options.electionMax;
     while (!peer->inFlight.empty() && peer->inFlight.front().last <= peer->match) {
         peer->inFlightBytes -= peer->inFlight.front().bytes;
         peer->inFlight.pop_front();
@@ -198,12 +199,12 @@
 
 void RaftCore::onSnapshotReply(const RaftMessage &message, const SnapshotReply &answer)
 {
-    Progress *peer = this->answered(message, answer.sentAt);
+    Progress *peer = this->recordReply(message, answer.sentAt);
     const bool isAwaited = peer != nullptr && peer->state == Progress::State::Snapshot
         && peer->snapshot.index == answer.index && peer->snapshot.checksum == answer.checksum;
     if (!isAwaited)
         return;
-    peer->awaiting = false;
+    peer->awaitingReply = false;
     if (!answer.installed) {
         peer->snapshotOffset = std::min(answer.nextOffset, peer->snapshot.size);
         return;
@@ -222,23 +223,24 @@
             continue;
         const auto peer = this->progress.find(member.replica);
         const bool isSelf = member.replica == this->own;
-        matches.push_back(isSelf                             ? this->stored
+        matches.push_back(isSelf                             ? this->syncedIndex
                               : peer == this->progress.end() ? 0
                                                              : peer->second.match);
     }
     std::sort(matches.rbegin(), matches.rend());
     const LogIndex index = matches[this->members().quorum() - 1];
-    if (index <= this->commit || this->log.termAt(index) != this->hard.term)
+    if (index <= this->commitIndex || this->log.termAt(index) != this->hardState.term)
         return;
-    this->commit = index;
-    const bool isRemoved =
-        this->history.back().index <= this->commit && !this->members().isVoter(this->own);
+    this->commitIndex = index;
+    const bool isRemoved = this->memberHistory.back().index <= this->commitIndex
+        && !this->members().isVoter(this->own);
     if (isRemoved)
-        this->becomeFollower(this->hard.term, ReplicaId::None);
+        this->becomeFollower(this->hardState.term, ReplicaId::None);
 }
 
-/// When the last message was sent that a quorum, this replica included, has answered.
-Instant RaftCore::quorumInstant() const
+/// The latest instant such that a quorum, including this replica, has replied to a message sent at
+/// or after it.
+Instant RaftCore::quorumContactTime() const
 {
     std::vector<Instant> instants;
     for (const MemberRecord &member : this->members().members) {
@@ -248,7 +250,7 @@
         const bool isSelf = member.replica == this->own;
         instants.push_back(isSelf                             ? this->now
                                : peer == this->progress.end() ? Instant{}
-                                                              : peer->second.leaseFrom);
+                                                              : peer->second.lastAckedSendTime);
     }
     std::sort(instants.rbegin(), instants.rend());
     return instants.empty() ? Instant{} : instants[this->members().quorum() - 1];
@@ -256,12 +258,13 @@
 
 Instant RaftCore::leaseUntil() const
 {
-    const bool leads = this->currentRole == ReplicaRole::Leader && this->commit >= this->noOpIndex;
-    // A successor that was told to stand asks for votes without the voters' wait, perhaps late:
-    // from then on no lease can be relied on in this term.
-    if (!leads || this->successorTold)
+    const bool leads =
+        this->currentRole == ReplicaRole::Leader && this->commitIndex >= this->noOpIndex;
+    // After TimeoutNow the successor's vote requests bypass the voters' wait and may arrive late,
+    // so no lease can be relied on for the rest of this term.
+    if (!leads || this->timeoutNowSent)
         return Instant{};
-    const Instant from = this->quorumInstant();
+    const Instant from = this->quorumContactTime();
     return from == Instant{} ? from : from + this->options.electionMin * leasePercent / 100;
 }
 
@@ -269,20 +272,20 @@
 {
     this->now = std::max(this->now, time);
     if (this->currentRole != ReplicaRole::Leader)
-        return failure(ErrorCode::NotLeader, "this replica does not lead its group");
+        return failure(ErrorCode::NotLeader, "this replica is not the leader of its group");
     if (this->isTransferring())
-        return failure(ErrorCode::Unavailable, "leadership is being handed over already");
+        return failure(ErrorCode::Unavailable, "leadership is already being transferred");
     LogIndex best = 0;
     ReplicaId target = ReplicaId::None;
     for (const auto &[replica, peer] : this->progress) {
-        const bool answers = this->now <= peer.answeredAt + this->options.electionMin;
+        const bool answers = this->now <= peer.lastReplyAt + this->options.electionMin;
         if (this->members().isVoter(replica) && answers && peer.match > best) {
             best = peer.match;
             target = replica;
         }
     }
     if (target == ReplicaId::None)
-        return failure(ErrorCode::Unavailable, "no other voter answers at the moment");
+        return failure(ErrorCode::Unavailable, "no other voter is currently responding");
     this->transferTarget = target;
     this->transferUntil = this->now + 2 * this->options.electionMax;
     this->finishTransfer();
@@ -294,8 +297,8 @@
     if (!this->isTransferring())
         return;
     if (this->now >= this->transferUntil) {
-        if (this->successorTold)
-            this->becomeFollower(this->hard.term, ReplicaId::None);
+        if (this->timeoutNowSent)
+            this->becomeFollower(this->hardState.term, ReplicaId::None);
         else
             this->transferTarget = ReplicaId::None;
         return;
@@ -306,9 +309,9 @@
         this->transferTarget = ReplicaId::None;
         return;
     }
-    if (peer->second.match < this->log.lastIndex() || this->successorTold)
+    if (peer->second.match < this->log.lastIndex() || this->timeoutNowSent)
         return;
-    this->successorTold = true;
+    this->timeoutNowSent = true;
     this->sendTo(*member, TimeoutNow{}, true);
 }
 
--- a/src/replicas/raftlog.cpp
+++ b/src/replicas/raftlog.cpp
@@ -21,13 +21,14 @@
 
 const LogEntry &RaftLog::at(LogIndex index) const
 {
-    assert(index > this->base && index <= this->lastIndex() && "ask only for entries it holds");
+    assert(index > this->base && index <= this->lastIndex()
+           && "the index must be that of an entry in memory");
     return this->entries[index - this->base - 1];
 }
 
 void RaftLog::append(LogEntry entry)
 {
-    assert(entry.index == this->lastIndex() + 1 && "entries are appended without gaps");
+    assert(entry.index == this->lastIndex() + 1 && "entries must be appended without gaps");
     this->heldBytes += entryBytes(entry);
     this->entries.push_back(std::move(entry));
 }
--- a/src/replicas/raftlog.h
+++ b/src/replicas/raftlog.h
@@ -11,26 +11,27 @@
 
 namespace guavavalve {
 
-/// The part of the log that is held in memory: everything after a base entry.
+/// The in-memory part of the log: all entries after the base index.
 class RaftLog
 {
 public:
     LogIndex baseIndex() const { return this->base; }
     LogIndex lastIndex() const { return this->base + this->entries.size(); }
     std::uint64_t lastTerm() const { return this->termAt(this->lastIndex()).value_or(0); }
-    /// Nothing for an index before the base or after the end.
+    /// Empty for an index before the base or after the last entry.
     std::optional<std::uint64_t> termAt(LogIndex index) const;
     const LogEntry &at(LogIndex index) const;
 
     void append(LogEntry entry);
-    /// Drops \a index and everything after it.
+    /// Removes the entry at \a index and all later ones.
     void truncateFrom(LogIndex index);
-    /// Drops everything up to \a index, which becomes the base.
+    /// Removes the entries up to and including \a index, which becomes the base.
     void compactTo(LogIndex index);
-    /// Drops everything; the next entry follows \a index.
+    /// Removes all entries; the next one appended follows \a index.
     void reset(LogIndex index, std::uint64_t term);
 
-    /// Entries from \a first on, up to \a last, at least one and else at most \a maxBytes.
+    /// Entries from \a first to \a last: at most \a maxBytes, but at least one entry if there is
+    /// any.
     std::vector<LogEntry> read(LogIndex first, LogIndex last, std::size_t maxBytes) const;
 
     std::size_t bytes() const { return this->heldBytes; }
@@ -42,7 +43,7 @@
     std::size_t heldBytes = 0;
 };
 
-/// What an entry costs in memory and on the wire, about.
+/// The approximate size of an entry in memory and on the wire.
 std::size_t entryBytes(const LogEntry &entry);
 
 } // namespace guavavalve
--- a/src/replicas/raftmembership.cpp
+++ b/src/replicas/raftmembership.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// Changes of members, one at a time (thesis, 4.1 and 4.2).
+// Single-server membership changes (thesis, 4.1 and 4.2).
 
 namespace guavavalve {
 
@@ -24,33 +24,33 @@
     }
 }
 
-/// One change at a time, and only beneath a committed entry of this leader's own term: else two
-/// leaders' changes could have quorums that do not overlap (Ongaro's note of 2015 on the thesis'
-/// single-server changes).
+/// Allows one change at a time, and only after an entry of this leader's own term has been
+/// committed. Otherwise the changes of two leaders could have quorums that do not overlap (Ongaro's
+/// 2015 correction to the thesis' single-server changes).
 bool RaftCore::mayChangeMembers() const
 {
-    return this->currentRole == ReplicaRole::Leader && this->commit >= this->noOpIndex
-        && this->history.back().index <= this->commit && !this->isTransferring();
+    return this->currentRole == ReplicaRole::Leader && this->commitIndex >= this->noOpIndex
+        && this->memberHistory.back().index <= this->commitIndex && !this->isTransferring();
 }
 
 LogIndex RaftCore::proposeMembers(const MemberList &list)
 {
     const LogIndex index = this->log.lastIndex() + 1;
-    this->appendEntry({index, this->hard.term, EntryKind::Members, encode(list)});
+    this->appendEntry({index, this->hardState.term, EntryKind::Members, encode(list)});
     return index;
 }
 
 Result<LogIndex> RaftCore::addLearner(MemberRecord member)
 {
     if (this->currentRole != ReplicaRole::Leader)
-        return failure(ErrorCode::NotLeader, "this replica does not lead its group");
+        return failure(ErrorCode::NotLeader, "this replica is not the leader of its group");
     if (this->members().find(member.replica) != nullptr)
-        return failure(ErrorCode::Conflict, member.instance + " is a member already");
+        return failure(ErrorCode::Conflict, member.instance + " is already a member");
     if (!this->mayChangeMembers())
-        return failure(ErrorCode::Unavailable, "another change of members is under way");
+        return failure(ErrorCode::Unavailable, "another membership change is in progress");
     member.voter = false;
     for (const MemberRecord &other : this->members().members) {
-        // The same instance with another disk: what is left of the lost one goes.
+        // The same instance with a new disk: its previous replica is to be removed.
         if (other.instance == member.instance)
             member.replaces = other.replica;
     }
@@ -62,7 +62,7 @@
 Result<LogIndex> RaftCore::removeInstance(const InstanceId &instance)
 {
     if (this->currentRole != ReplicaRole::Leader)
-        return failure(ErrorCode::NotLeader, "this replica does not lead its group");
+        return failure(ErrorCode::NotLeader, "this replica is not the leader of its group");
     MemberList list = this->members();
     const auto found = std::find_if(list.members.begin(), list.members.end(),
                                     [&](const auto &m) { return m.instance == instance; });
@@ -71,22 +71,22 @@
     if (found->voter && list.voters() == 1)
         return failure(ErrorCode::InvalidArgument, "the last voter cannot be removed");
     if (!this->mayChangeMembers())
-        return failure(ErrorCode::Unavailable, "another change of members is under way");
+        return failure(ErrorCode::Unavailable, "another membership change is in progress");
     list.members.erase(found);
     return this->proposeMembers(list);
 }
 
 void RaftCore::onIdentityReply(const RaftMessage & /*message*/, const IdentityReply &answer)
 {
-    const bool isOurs = answer.formation == 0 || answer.formation == this->hard.formation;
+    const bool isOurs = answer.formation == 0 || answer.formation == this->hardState.formation;
     if (!this->isFormed() || !isOurs)
         return;
     const MemberRecord *member = this->members().find(answer.replica);
     if (member != nullptr && answer.formation != 0)
         return;
     if (member != nullptr) {
-        // It has never voted or stored anything under this identity, so it may begin to. Without
-        // this, a voter that missed the formation could not help to elect a leader.
+        // The replica has never voted or stored anything under this identity, so it may join now.
+        // Without this, a voter that missed the formation could not help to elect a leader.
         FormRequest request;
         if (this->log.baseIndex() == 0 && this->log.lastIndex() >= 1)
             request.first = this->log.at(1);
@@ -98,7 +98,7 @@
     for (const MemberRecord &record : this->members().members) {
         const auto peer = this->progress.find(record.replica);
         if (record.instance == answer.instance && peer != this->progress.end())
-            peer->second.foundInstead = answer.replica;
+            peer->second.replacement = answer.replica;
     }
 }
 
@@ -109,21 +109,22 @@
     this->admitReplacement();
 }
 
-/// An instance that lost its disk comes back as another replica: it joins as a learner.
+/// Adds an instance that lost its disk, and returned as a new replica, as a learner.
 ///
-/// Guards against the votes and acknowledgements that went with the disk: counted under the old
-/// identity, an empty folder could help to elect a leader without a committed entry.
+/// The votes and acknowledgements of the old replica were lost with the disk. If the empty replica
+/// counted under the old identity, it could help to elect a leader that lacks a committed entry.
 bool RaftCore::admitReplacement()
 {
     for (const MemberRecord &member : this->members().members) {
         const auto peer = this->progress.find(member.replica);
-        if (peer == this->progress.end() || peer->second.foundInstead == ReplicaId::None)
+        if (peer == this->progress.end() || peer->second.replacement == ReplicaId::None)
             continue;
-        const ReplicaId newcomer = std::exchange(peer->second.foundInstead, ReplicaId::None);
-        if (this->members().find(newcomer) != nullptr)
+        const ReplicaId newReplica = std::exchange(peer->second.replacement, ReplicaId::None);
+        if (this->members().find(newReplica) != nullptr)
             continue;
         MemberList list = this->members();
-        list.members.push_back({member.instance, newcomer, member.address, false, member.replica});
+        list.members.push_back(
+            {member.instance, newReplica, member.address, false, member.replica});
         this->proposeMembers(list);
         return true;
     }
@@ -133,20 +134,20 @@
 bool RaftCore::hasAnswered(ReplicaId replica, Milliseconds within) const
 {
     const auto peer = this->progress.find(replica);
-    return peer != this->progress.end() && this->now <= peer->second.answeredAt + within;
+    return peer != this->progress.end() && this->now <= peer->second.lastReplyAt + within;
 }
 
-std::optional<MemberRecord> RaftCore::findUnresponsiveVoter(Milliseconds goneAfter) const
+std::optional<MemberRecord> RaftCore::findUnresponsiveVoter(Milliseconds timeout) const
 {
-    if (!this->mayChangeMembers() || this->now < this->leadsSince + goneAfter)
+    if (!this->mayChangeMembers() || this->now < this->leadsSince + timeout)
         return std::nullopt;
     const auto &all = this->members().members;
     for (const MemberRecord &member : all) {
         const bool isReplaced = std::any_of(
             all.begin(), all.end(), [&](const auto &m) { return m.replaces == member.replica; });
-        const bool isGone = member.voter && member.replica != this->own
-            && !this->hasAnswered(member.replica, goneAfter);
-        if (isGone && !isReplaced)
+        const bool isUnresponsive = member.voter && member.replica != this->own
+            && !this->hasAnswered(member.replica, timeout);
+        if (isUnresponsive && !isReplaced)
             return member;
     }
     return std::nullopt;
@@ -156,17 +157,18 @@
 {
     const auto peer = this->progress.find(member.replica);
     return peer != this->progress.end() && peer->second.state == Progress::State::Replicate
-        && peer->second.match >= this->commit
+        && peer->second.match >= this->commitIndex
         && this->hasAnswered(member.replica, this->options.electionMin);
 }
 
-/// Guards against a second loss straight after a repair: a newcomer that counted before it had
-/// synced everything would leave a committed entry on too few disks. What it replaces goes
-/// first, so that the dead and the new never raise the quorum together.
+/// Promotes a learner only after it has synced all committed entries: counted earlier, a second
+/// loss straight after a repair would leave a committed entry on too few disks. The replica that it
+/// replaces is removed first, so that the lost and the new replica never increase the quorum
+/// together.
 bool RaftCore::promoteLearner()
 {
     for (const MemberRecord &member : this->members().members) {
-        // While the one to be replaced answers, the learner stays a learner, ready.
+        // While the replica to be replaced still replies, the learner remains a learner.
         if (member.voter || !this->isCaughtUp(member)
             || this->hasAnswered(member.replaces, this->options.electionMin))
             continue;
--- a/src/replicas/raftmessage.h
+++ b/src/replicas/raftmessage.h
@@ -21,18 +21,18 @@
 
 namespace guavavalve {
 
-/// The order is part of the wire format.
+/// The order of the alternatives is part of the wire format.
 using RaftBody = std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply, HeartbeatRequest,
                               HeartbeatReply, SnapshotRequest, SnapshotReply, TimeoutNow,
                               FormRequest, IdentifyRequest, IdentityReply>;
 
-/// What replicas of one group say to each other.
+/// A message between two replicas of a group.
 struct RaftMessage
 {
     GroupId group{};
-    std::uint64_t formation = 0; ///< the sender's; zero: it has not been formed
+    std::uint64_t formation = 0; ///< the sender's; zero if it has not been formed
     ReplicaId from = ReplicaId::None;
-    ReplicaId to = ReplicaId::None; ///< whom it is meant for; None: whoever is there
+    ReplicaId to = ReplicaId::None; ///< the intended receiver; None for any replica at the address
     std::uint64_t term = 0; ///< the sender's
     RaftBody body;
 
--- a/src/replicas/raftoutput.h
+++ b/src/replicas/raftoutput.h
@@ -10,16 +10,18 @@
 
 namespace guavavalve {
 
-/// What RaftCore wants done, in the order of the members: send, store, send.
+/// The work that RaftCore requests, in the order of the members: send, store, send.
 struct RaftOutput
 {
-    /// May go out beside the write: a leader's entries count here only once they are synced.
+    /// May be sent in parallel with the write: the leader counts its own copy of an entry only
+    /// after it has been synced.
     std::vector<OutgoingMessage> beforeSync;
-    std::optional<InstalledSnapshot> snapshot; ///< to be saved before the batch
+    std::optional<InstalledSnapshot> snapshot; ///< to be saved before the batch is written
     WriteBatch batch;
-    /// Votes and acknowledgements: promises that must be synced before they are given.
+    /// Votes and acknowledgements, which may be sent only after the data they promise has been
+    /// synced.
     std::vector<OutgoingMessage> afterSync;
-    /// A broken invariant: nothing above may be done, the process must stop.
+    /// A violated invariant: none of the above may be carried out, and the process must stop.
     std::optional<Error> fault;
 
     bool isEmpty() const
--- a/src/replicas/snapshotreply.h
+++ b/src/replicas/snapshotreply.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// How far a snapshot has come, so that a broken-off transfer goes on from there.
+/// Reports how much of a snapshot has been received, so that an interrupted transfer resumes there.
 struct SnapshotReply
 {
     LogIndex index = 0;
--- a/src/replicas/snapshotrequest.h
+++ b/src/replicas/snapshotrequest.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve {
 
-/// One piece of the leader's snapshot.
+/// A chunk of the leader's snapshot.
 struct SnapshotRequest
 {
     SnapshotMeta meta;
--- a/src/replicas/timeoutnow.h
+++ b/src/replicas/timeoutnow.h
@@ -2,7 +2,7 @@
 
 namespace guavavalve {
 
-/// The leader tells its successor to stand for election at once (Ongaro's thesis, 3.10).
+/// Sent by a leader to its successor, which starts an election at once (Ongaro's thesis, 3.10).
 struct TimeoutNow
 {
     template<typename Archive>
--- a/src/replicas/votereply.h
+++ b/src/replicas/votereply.h
@@ -9,13 +9,13 @@
     bool preVote = false;
     bool granted = false;
     std::uint64_t forTerm = 0;
-    /// Of a replica that has heard no leader since it started: names this start of it. Else 0.
-    std::uint64_t freshStart = 0;
+    /// In a granted startup pre-vote: the ID of the voter's process start. Zero in any other reply.
+    std::uint64_t startupId = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->preVote, this->granted, this->forTerm, this->freshStart);
+        archive(this->preVote, this->granted, this->forTerm, this->startupId);
     }
 };
 
--- a/src/replicas/voterequest.h
+++ b/src/replicas/voterequest.h
@@ -6,23 +6,24 @@
 
 namespace guavavalve {
 
-/// A candidate asks for a vote, or (pre-vote) whether it would get one.
+/// A candidate's request for a vote, or, as a pre-vote, for whether the vote would be granted.
 struct VoteRequest
 {
     bool preVote = false;
-    bool transfer = false; ///< its leader told it to stand: the voters' wait is waived
+    bool transfer = false; ///< sent after TimeoutNow: voters do not wait for the leader to time out
     std::uint64_t forTerm = 0;
     LogIndex lastIndex = 0;
     std::uint64_t lastTerm = 0;
-    bool isEarly = false; ///< of a pre-vote: right after a start, before the voters' wait is over
-    /// The start of the voter that was found to follow nobody, with all others: its wait is waived.
-    std::uint64_t freshStart = 0;
+    bool isStartupPreVote = false; ///< sent before the voters' wait after a start is over
+    /// The startup ID that the receiver sent when it, like all other voters, granted the startup
+    /// pre-vote; it then does not wait before it votes. Zero if there is none.
+    std::uint64_t startupId = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
         archive(this->preVote, this->transfer, this->forTerm, this->lastIndex, this->lastTerm,
-                this->isEarly, this->freshStart);
+                this->isStartupPreVote, this->startupId);
     }
 };
 
--- a/test/replicas/raftcommittest.cpp
+++ b/test/replicas/raftcommittest.cpp
@@ -23,8 +23,8 @@
     return list;
 }
 
-/// Replica 1, back with an entry of term 2 that was never committed, and now in term 3.
-RaftCore withOldEntry()
+/// Replica 1 after a restart, in term 3, with an entry of term 2 that was never committed.
+RaftCore coreWithUncommittedEntry()
 {
     RecoveredState state;
     state.replica = replica(1);
@@ -37,7 +37,8 @@
     return RaftCore(std::move(options), state, Instant{});
 }
 
-void answer(RaftCore &core, std::uint64_t term, RaftBody body, Instant now, std::uint64_t from = 2)
+void deliverReply(RaftCore &core, std::uint64_t term, RaftBody body, Instant now,
+                  std::uint64_t from = 2)
 {
     RaftMessage message;
     message.formation = formation;
@@ -52,34 +53,35 @@
 
 } // namespace
 
-// An entry of an earlier term is on a majority, but another replica with a later entry could
-// still be elected and replace it (the 2014 paper, figure 8). Were it told as committed, an
-// acknowledged command could vanish.
-TEST_CASE("an entry of an earlier term commits only beneath one of the leader's own", "[raft]")
+// An entry of an earlier term is on a majority, but another replica with a later entry could still
+// be elected and overwrite it (2014 paper, figure 8). If it were reported as committed, an
+// acknowledged command could be lost.
+TEST_CASE("an entry of an earlier term commits only through an entry of the leader's own term",
+          "[raft]")
 {
-    RaftCore core = withOldEntry();
+    RaftCore core = coreWithUncommittedEntry();
     const Instant now{Milliseconds(400)};
     core.tick(now);
     core.takeOutput();
     core.persisted();
-    answer(core, 3, VoteReply{true, true, 4}, now);
-    answer(core, 4, VoteReply{false, true, 4}, now);
+    deliverReply(core, 3, VoteReply{true, true, 4}, now);
+    deliverReply(core, 4, VoteReply{false, true, 4}, now);
     REQUIRE(core.role() == ReplicaRole::Leader);
     REQUIRE(core.firstIndexOfTerm() == 3);
 
     AppendReply matched;
     matched.accepted = true;
     matched.matchIndex = 2;
-    answer(core, 4, matched, now);
+    deliverReply(core, 4, matched, now);
     CHECK(core.committed() == 0);
     matched.matchIndex = 3;
-    answer(core, 4, matched, now);
+    deliverReply(core, 4, matched, now);
     CHECK(core.committed() == 3);
 }
 
-// A replica restarts in the middle of an election and is asked for its vote again. It must
-// remember whom it has voted for, or two could lead in one term.
-TEST_CASE("a replica votes once in a term also across a restart", "[raft]")
+// A replica restarts during an election and is asked for its vote again. It must remember its vote;
+// otherwise two replicas could become leader in the same term.
+TEST_CASE("a replica votes only once per term even across a restart", "[raft]")
 {
     RecoveredState state;
     state.replica = replica(1);
@@ -88,7 +90,7 @@
     RaftCoreOptions options;
     options.random = [] { return std::uint64_t{0}; };
     RaftCore core(std::move(options), state, Instant{});
-    const auto asks = [&](std::uint64_t from) {
+    const auto grantsVote = [&](std::uint64_t from) {
         RaftMessage message;
         message.formation = formation;
         message.from = replica(from);
@@ -98,27 +100,28 @@
         core.receive(std::move(message), 1, Instant{Milliseconds(5000)});
         return std::get<VoteReply>(core.takeOutput().afterSync.at(0).message.body).granted;
     };
-    CHECK_FALSE(asks(3));
-    CHECK(asks(2));
+    CHECK_FALSE(grantsVote(3));
+    CHECK(grantsVote(2));
 }
 
-// A leader's own disk is slow: its entry counts for the quorum only once it is synced there.
+// The leader's own disk is slow: its copy of an entry counts towards the quorum only after it has
+// been synced.
 TEST_CASE("a leader's own copy counts only once it is synced", "[raft]")
 {
-    RaftCore core = withOldEntry();
+    RaftCore core = coreWithUncommittedEntry();
     const Instant now{Milliseconds(400)};
     core.tick(now);
     core.takeOutput();
     core.persisted();
-    answer(core, 3, VoteReply{true, true, 4}, now);
-    answer(core, 4, VoteReply{false, true, 4}, now);
+    deliverReply(core, 3, VoteReply{true, true, 4}, now);
+    deliverReply(core, 4, VoteReply{false, true, 4}, now);
     AppendReply matched;
     matched.accepted = true;
     matched.matchIndex = 3;
-    answer(core, 4, matched, now);
+    deliverReply(core, 4, matched, now);
     REQUIRE(core.committed() == 3);
     REQUIRE(core.propose("new"));
-    core.takeOutput(); // sent, and not yet synced here
+    core.takeOutput(); // sent, but not yet synced by the leader
     RaftMessage message;
     message.formation = formation;
     message.from = replica(2);
@@ -132,10 +135,11 @@
     CHECK(core.committed() == 4);
 }
 
-// A leader appends its own removal and is killed before the others have it; one of them is lost
-// as well. It has the longest log, so nobody else can win: it must stand once more, without
-// counting its own vote, or the group stands still for ever.
-TEST_CASE("a voter whose removal is not committed stands and does not count itself", "[raft]")
+// A leader appends its own removal and is killed before the other replicas have the entry; one of
+// them is lost as well. The leader has the longest log, so no other replica can win an election: it
+// must campaign once more, without counting its own vote, or the group never has a leader again.
+TEST_CASE("a voter whose removal is not committed campaigns without counting its own vote",
+          "[raft]")
 {
     RecoveredState state;
     state.replica = replica(1);
@@ -150,12 +154,12 @@
     const Instant now{Milliseconds(400)};
     core.tick(now);
     CHECK(core.takeOutput().afterSync.size() == 2);
-    answer(core, 3, VoteReply{true, true, 4}, now, 2);
+    deliverReply(core, 3, VoteReply{true, true, 4}, now, 2);
     CHECK(core.term() == 3);
-    answer(core, 3, VoteReply{true, true, 4}, now, 3);
+    deliverReply(core, 3, VoteReply{true, true, 4}, now, 3);
     CHECK(core.term() == 4);
-    answer(core, 4, VoteReply{false, true, 4}, now, 2);
+    deliverReply(core, 4, VoteReply{false, true, 4}, now, 2);
     CHECK(core.role() != ReplicaRole::Leader);
-    answer(core, 4, VoteReply{false, true, 4}, now, 3);
+    deliverReply(core, 4, VoteReply{false, true, 4}, now, 3);
     CHECK(core.role() == ReplicaRole::Leader);
 }
--- a/test/replicas/raftcoretest.cpp
+++ b/test/replicas/raftcoretest.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-constexpr Milliseconds aWhile{3000};
+constexpr Milliseconds severalTimeouts{3000};
 constexpr Milliseconds anHour{3600000};
 constexpr RaftSimulation::FaultRates noFaults{0, 0, 0};
 
-/// Formed, with a leader, and with \a commands committed everywhere.
-void begin(RaftSimulation &simulation, std::size_t commands = 3)
+/// Runs until the group has a leader and \a commands commands are committed on all replicas.
+void startGroup(RaftSimulation &simulation, std::size_t commands = 3)
 {
     simulation.setFaultRates(noFaults);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     REQUIRE(simulation.leader().has_value());
     for (std::size_t i = 0; i < commands; ++i) {
         REQUIRE(simulation.proposeAtLeader());
         simulation.run(Milliseconds(20));
     }
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     REQUIRE(simulation.failure() == RaftSimulation::none);
 }
 
@@ -40,29 +40,30 @@
 
 } // namespace
 
-// A controller is cut off silently. It must stop leading without being told, and before anyone
-// else could be elected its lease must be over, else two would answer for the cluster.
-TEST_CASE("a leader that is cut off loses its lease and steps down", "[raft]")
+// A leader is partitioned without noticing. It must step down by itself, and its lease must expire
+// before another leader can be elected; otherwise two leaders would answer requests.
+TEST_CASE("a partitioned leader loses its lease and steps down", "[raft]")
 {
     RaftSimulation simulation(1, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t old = leaderOf(simulation);
     CHECK(simulation.core(old).leaseUntil() > Instant{});
     simulation.cutOff(old);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.core(old).role() != ReplicaRole::Leader);
     CHECK(leaderOf(simulation) != old);
     CHECK(simulation.proposeAtLeader());
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// A replica is cut off for an hour and comes back. If it had counted up its term with every vain
-// election, its return would depose a healthy leader, and callers would see a pause for nothing.
-TEST_CASE("a replica that returns after a long time deposes no one", "[raft]")
+// A replica is partitioned for many election timeouts and returns. If it had increased its term
+// with every failed election, its return would depose a healthy leader and interrupt service for no
+// reason.
+TEST_CASE("a replica that returns after a long partition does not depose the leader", "[raft]")
 {
     RaftSimulation simulation(2, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     const std::size_t away = otherThan(leader);
     const std::uint64_t term = simulation.core(leader).term();
@@ -71,19 +72,19 @@
     CHECK(simulation.core(away).term() == term);
     REQUIRE(simulation.proposeAtLeader());
     simulation.reconnect(away);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(leaderOf(simulation) == leader);
     CHECK(simulation.core(leader).term() == term);
     CHECK(simulation.applied(away) == simulation.applied(leader));
 }
 
-// Only the link between the leader and one follower breaks; the other follower hears both. It
-// must not help the cut-off one to depose a leader that it hears itself, or the two that cannot
-// see each other would take turns for ever, and reads under the lease would be stale.
-TEST_CASE("a broken link to one follower deposes no one", "[raft]")
+// Only the link between the leader and one follower fails; the other follower hears both. It must
+// not help the disconnected follower to depose a leader that it still hears from: leadership would
+// keep changing between the two, and reads under the lease would be stale.
+TEST_CASE("a broken link to one follower does not depose the leader", "[raft]")
 {
     RaftSimulation simulation(13, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     const std::uint64_t term = simulation.core(leader).term();
     simulation.cutLink(leader, otherThan(leader));
@@ -93,20 +94,21 @@
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// A follower restarts within a moment. It has forgotten that it has just promised its leader not
-// to elect another for a while; one that is cut off from the leader asks for its vote at once.
-TEST_CASE("a voter that has just restarted helps no one to depose its leader", "[raft]")
+// A follower restarts quickly. It has forgotten that it has just promised its leader not to vote
+// for another replica for a while, and a replica that is disconnected from the leader asks for its
+// vote at once.
+TEST_CASE("a voter that has just restarted does not help to depose its leader", "[raft]")
 {
     for (std::uint64_t seed = 30; seed < 70; ++seed) {
         CAPTURE(seed);
         RaftSimulation simulation(seed, 3, 3);
-        begin(simulation);
+        startGroup(simulation);
         const std::size_t leader = leaderOf(simulation);
         const std::uint64_t term = simulation.core(leader).term();
         const std::size_t cut = otherThan(leader);
         const std::size_t voter = 3 - leader - cut;
         simulation.cutLink(leader, cut);
-        simulation.run(aWhile);
+        simulation.run(severalTimeouts);
         for (int i = 0; i < 5; ++i) {
             simulation.crash(voter);
             simulation.restart(voter);
@@ -117,33 +119,34 @@
     }
 }
 
-// A follower is killed while it writes an entry. Had it acknowledged before the sync, the leader
-// would tell a caller that the command is committed, and the disk would not have it.
-TEST_CASE("an acknowledgement follows its sync", "[raft]")
+// A follower is killed while it writes an entry. If it acknowledged entries before the sync, the
+// leader would report the command as committed although the follower's disk does not hold it.
+TEST_CASE("an entry is acknowledged only after it is synced", "[raft]")
 {
     RaftSimulation simulation(14, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     const std::size_t follower = otherThan(leader);
     const std::size_t commits = simulation.commits();
     simulation.crash(3 - leader - follower);
-    simulation.dieInNextWrite(follower);
+    simulation.crashInNextWrite(follower);
     REQUIRE(simulation.proposeAtLeader());
     simulation.run(Milliseconds(200));
     CHECK_FALSE(simulation.isAlive(follower));
     CHECK(simulation.commits() == commits);
     simulation.restart(follower);
-    simulation.run(2 * aWhile);
+    simulation.run(2 * severalTimeouts);
     CHECK(simulation.commits() > commits);
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// Two leaders of different terms each change the members by one; without a committed entry of
-// the later one's own term between them, their quorums need not overlap.
-TEST_CASE("a new leader changes no members before its own first entry is committed", "[raft]")
+// Two leaders of different terms each change the membership by one replica. Unless the later leader
+// first commits an entry of its own term, the quorums of the two changes need not overlap.
+TEST_CASE("a new leader does not change the membership before its first entry is committed",
+          "[raft]")
 {
     RaftSimulation simulation(15, 4, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t old = leaderOf(simulation);
     simulation.crash(old);
     std::optional<std::size_t> leader;
@@ -154,38 +157,38 @@
     REQUIRE(leader);
     REQUIRE(simulation.core(*leader).committed() < simulation.core(*leader).firstIndexOfTerm());
     CHECK_FALSE(simulation.addMember(3));
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.addMember(3));
 }
 
-// A controller is cut off for long while the others go on under a new leader. When it is back it
-// must follow, and what it had not committed must give way.
-TEST_CASE("a leader that returns after a long time follows the new one", "[raft]")
+// A leader is partitioned for a long time while the others elect a new one. On its return it must
+// follow the new leader and discard its uncommitted entries.
+TEST_CASE("a leader that returns after a long partition follows the new leader", "[raft]")
 {
     RaftSimulation simulation(3, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t old = leaderOf(simulation);
     simulation.cutOff(old);
     simulation.proposeAtLeader(); // reaches nobody
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     REQUIRE(simulation.proposeAtLeader());
     simulation.run(anHour / 60);
     const std::size_t current = leaderOf(simulation);
     const std::uint64_t term = simulation.core(current).term();
     simulation.reconnect(old);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(leaderOf(simulation) == current);
     CHECK(simulation.core(current).term() == term);
     CHECK(simulation.state(old) == simulation.state(current));
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// A replica that nobody has formed into a group starts with an empty disk. Were it to stand or to
-// vote, a second group could arise beside the first.
-TEST_CASE("a replica that was not formed neither stands nor votes", "[raft]")
+// A replica that does not belong to a group starts with an empty disk. If it campaigned or voted, a
+// second group could be created beside the first.
+TEST_CASE("a replica that belongs to no group neither campaigns nor votes", "[raft]")
 {
     RaftSimulation simulation(4, 4, 3);
-    begin(simulation);
+    startGroup(simulation);
     simulation.run(anHour / 60);
     CHECK_FALSE(simulation.core(3).isFormed());
     CHECK(simulation.core(3).term() == 0);
@@ -203,26 +206,26 @@
     CHECK(output.batch.isEmpty());
 }
 
-// A disk is lost and the instance comes back empty at the same address. Votes and
-// acknowledgements went with the disk, so it must count for nothing under the old identity; it
-// joins as a learner and becomes a voter when it has synced everything.
-TEST_CASE("an instance that lost its disk joins again as a new replica", "[raft]")
+// An instance loses its disk and restarts empty at the same address. The votes and acknowledgements
+// of the old replica are lost, so the instance must not count under the old identity; it joins as a
+// learner and becomes a voter once it has synced all entries.
+TEST_CASE("an instance that lost its disk rejoins as a new replica", "[raft]")
 {
     RaftSimulation simulation(5, 3, 3);
-    begin(simulation, 20);
+    startGroup(simulation, 20);
     const std::size_t lost = otherThan(leaderOf(simulation));
     const ReplicaId before = simulation.core(lost).self();
     simulation.eraseDisk(lost);
     const ReplicaId after = simulation.core(lost).self();
     REQUIRE(after != before);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     const MemberList &members = simulation.core(leaderOf(simulation)).committedMembers();
     CHECK(members.find(before) == nullptr);
     CHECK(members.isVoter(after));
     CHECK(members.voters() == 3);
     CHECK(simulation.state(lost) == simulation.state(leaderOf(simulation)));
 
-    // What was meant for the lost replica is not taken for this one's.
+    // Requests addressed to the lost replica are rejected by the new one.
     RaftCore &core = simulation.core(lost);
     const std::uint64_t term = core.term();
     RaftMessage request;
@@ -237,14 +240,15 @@
     CHECK(core.term() == term);
 }
 
-// An instance fails and is repaired; straight after, a second one is lost for good. The repaired
-// one counted only once it had synced everything, so nothing committed is lost.
-TEST_CASE("a second loss straight after a repair loses nothing", "[raft]")
+// An instance fails and is repaired; immediately afterwards a second one is lost permanently. No
+// committed entry is lost, because the repaired instance counted as a voter only after it had
+// synced all entries.
+TEST_CASE("a second loss right after a repair loses no committed entry", "[raft]")
 {
     for (std::uint64_t seed = 10; seed < 30; ++seed) {
         CAPTURE(seed);
         RaftSimulation simulation(seed, 3, 3);
-        begin(simulation, 30);
+        startGroup(simulation, 30);
         const std::size_t commits = simulation.commits();
         const std::size_t leader = leaderOf(simulation);
         const std::size_t first = otherThan(leader);
@@ -257,38 +261,38 @@
         }
         REQUIRE(simulation.core(leader).committedMembers().isVoter(repaired));
         CHECK(simulation.core(first).entries().lastIndex() >= commits);
-        simulation.eraseDisk(leader); // the one that had everything
-        simulation.run(2 * aWhile);
+        simulation.eraseDisk(leader); // it had all entries
+        simulation.run(2 * severalTimeouts);
         const std::size_t next = leaderOf(simulation);
         CHECK(simulation.applied(next) >= commits);
         CHECK(simulation.proposeAtLeader());
-        simulation.run(2 * aWhile);
+        simulation.run(2 * severalTimeouts);
         CHECK(simulation.failure() == RaftSimulation::none);
         CHECK(simulation.core(next).committedMembers().voters() == 3);
     }
 }
 
-TEST_CASE("a newcomer is a learner until it has synced everything", "[raft]")
+TEST_CASE("a new member is a learner until it has synced all entries", "[raft]")
 {
     RaftSimulation simulation(6, 4, 3);
-    begin(simulation, 20);
+    startGroup(simulation, 20);
     const std::size_t leader = leaderOf(simulation);
     simulation.cutOff(3);
     REQUIRE(simulation.addMember(3));
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.core(leader).committedMembers().voters() == 3);
-    // Only one change at a time.
+    // The new member is in the list, but not as a voter.
     CHECK(simulation.core(leader).committedMembers().members.size() == 4);
     simulation.reconnect(3);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.core(leader).committedMembers().voters() == 4);
     CHECK(simulation.applied(3) == simulation.applied(leader));
 }
 
-TEST_CASE("a second change of members waits for the first", "[raft]")
+TEST_CASE("a second membership change is refused while the first is in progress", "[raft]")
 {
     RaftSimulation simulation(7, 5, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     simulation.cutOff(leader); // so that the first change cannot commit
     REQUIRE(simulation.addMember(3));
@@ -298,12 +302,12 @@
     CHECK(removed.error().code == ErrorCode::Unavailable);
 }
 
-// A process restarts after hundreds of changes have passed it by, and after the log that held
-// them has been compacted. It must come to the same state, by snapshot and tail.
-TEST_CASE("a replica that missed 500 changes catches up by a snapshot", "[raft]")
+// A replica restarts after missing hundreds of changes, when the log entries that held them have
+// been compacted. It must reach the same state from a snapshot and the remaining entries.
+TEST_CASE("a replica that missed 500 changes catches up from a snapshot", "[raft]")
 {
     RaftSimulation simulation(8, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     const std::size_t away = otherThan(leader);
     simulation.crash(away);
@@ -314,18 +318,18 @@
     simulation.takeSnapshot(leader);
     REQUIRE(simulation.core(leader).entries().baseIndex() > 400);
     simulation.restart(away);
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.snapshotsInstalled == 1);
     CHECK(simulation.state(away) == simulation.state(leader));
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// The connection breaks in the middle of a snapshot's transfer, again and again. The transfer
-// must go on from where it was, or a large state would never arrive.
-TEST_CASE("a snapshot's transfer goes on where it broke off", "[raft]")
+// The connection breaks repeatedly during a snapshot transfer. The transfer must resume where it
+// was interrupted; otherwise a large state would never arrive.
+TEST_CASE("an interrupted snapshot transfer resumes where it stopped", "[raft]")
 {
     RaftSimulation simulation(9, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     RaftCoreOptions options;
     options.random = [] { return std::uint64_t{1}; };
     RecoveredState empty;
@@ -349,7 +353,7 @@
         return std::get<SnapshotReply>(output.afterSync[0].message.body).nextOffset;
     };
     CHECK(offsetAfter(0, "abc") == 3);
-    CHECK(offsetAfter(0, "ab") == 3); // a leader that begins again is told where to go on
+    CHECK(offsetAfter(0, "ab") == 3); // a leader that restarts the transfer is told where to resume
     CHECK(offsetAfter(5, "f") == 3);
     message.from = static_cast<ReplicaId>(2); // another leader with the same bytes
     message.term = 4;
@@ -357,11 +361,12 @@
     CHECK(follower.committed() == 10);
 }
 
-// A follower stops answering. What is under way to it must stay bounded, and so must memory.
-TEST_CASE("what is sent to a silent follower stays bounded", "[raft]")
+// A follower stops replying. The data in flight to it must stay bounded, and with it the leader's
+// memory.
+TEST_CASE("the data in flight to an unresponsive follower stays bounded", "[raft]")
 {
     RaftSimulation simulation(11, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t leader = leaderOf(simulation);
     const ReplicaId silent = simulation.core(otherThan(leader)).self();
     simulation.cutOff(otherThan(leader));
@@ -373,15 +378,15 @@
     }
     CHECK(most <= 3500);
     simulation.reconnect(otherThan(leader));
-    simulation.run(aWhile);
+    simulation.run(severalTimeouts);
     CHECK(simulation.state(otherThan(leader)) == simulation.state(leader));
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-TEST_CASE("leadership is handed to a follower without waiting for a timeout", "[raft]")
+TEST_CASE("leadership is transferred to a follower without waiting for a timeout", "[raft]")
 {
     RaftSimulation simulation(12, 3, 3);
-    begin(simulation);
+    startGroup(simulation);
     const std::size_t old = leaderOf(simulation);
     const std::uint64_t term = simulation.core(old).term();
     simulation.transfer(old);
--- a/test/replicas/raftrandomtest.cpp
+++ b/test/replicas/raftrandomtest.cpp
@@ -19,12 +19,13 @@
     std::size_t refusals = 0;
 };
 
-void runSeed(std::uint64_t seed, std::size_t steps, RaftSimulation::FaultRates odds, Tally &tally)
+void runSeed(std::uint64_t seed, std::size_t steps, RaftSimulation::FaultRates faultRates,
+             Tally &tally)
 {
     INFO("seed " << seed);
     const std::size_t voters = seed % 2 == 0 ? 3 : 5;
     RaftSimulation simulation(seed, 6, voters);
-    simulation.setFaultRates(odds);
+    simulation.setFaultRates(faultRates);
     for (std::size_t i = 0; i < steps && !simulation.hasFailed(); ++i)
         simulation.step();
     REQUIRE(simulation.failure() == RaftSimulation::none);
@@ -42,13 +43,13 @@
 }
 
 Tally runSeeds(std::uint64_t first, std::size_t seeds, std::size_t steps,
-               RaftSimulation::FaultRates odds = {})
+               RaftSimulation::FaultRates faultRates = {})
 {
     std::cout << "seeds " << first << " to " << first + seeds - 1 << ", " << steps << " steps each"
               << std::endl;
     Tally tally;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed)
-        runSeed(seed, steps, odds, tally);
+        runSeed(seed, steps, faultRates, tally);
     std::cout << tally.commits << " commits, " << tally.leaders << " leaders, " << tally.crashes
               << " crashes, " << tally.lostDisks << " lost disks, " << tally.snapshots
               << " snapshots installed, " << tally.memberChanges << " member changes, "
@@ -60,28 +61,28 @@
 
 } // namespace
 
-// Messages are lost, doubled, delayed and reordered; replicas are cut off, frozen, killed at any
-// step of a write, and lose their disks; members come and go, clocks drift. Whatever the order,
-// one leader a term, one log, no committed entry lost, no state reverted, no stale lease; and
-// once the faults end, the group goes on.
-TEST_CASE("the replicated log holds its promises under random faults", "[raft][random]")
+// Messages are lost, duplicated, delayed and reordered; replicas are partitioned, frozen, killed at
+// any step of a write, and lose their disks; members are added and removed, and clocks drift. In
+// any order of events there must be one leader per term and one log, no lost committed entry, no
+// reverted state and no stale lease, and the group must recover once the faults end.
+TEST_CASE("the replicated log keeps its guarantees under random faults", "[raft][random]")
 {
     runSeeds(1, 60, 20000);
 }
 
-// The same, while disks fill up and have room again, also several at once, at the start of a
-// replica, under a snapshot and under a vote. What a full disk has refused must not be spoken for,
-// and must be there once it was acknowledged.
-TEST_CASE("the replicated log holds its promises while disks fill up", "[raft][random]")
+// The same while disks become full and have space again: several at once, at the start of a
+// replica, while a snapshot is saved and while a vote is stored. A write that a full disk refused
+// must not be acknowledged, and an acknowledged one must be on disk.
+TEST_CASE("the replicated log keeps its guarantees while disks become full", "[raft][random]")
 {
-    RaftSimulation::FaultRates odds;
-    odds.fullDisk = 5;
-    const Tally tally = runSeeds(5000, 60, 20000, odds);
+    RaftSimulation::FaultRates faultRates;
+    faultRates.fullDisk = 5;
+    const Tally tally = runSeeds(5000, 60, 20000, faultRates);
     CHECK(tally.refusals > 1000);
 }
 
-// Not part of a plain run: `replicastest "[soak]"`, with millions of steps.
-TEST_CASE("the replicated log holds its promises in a long random run", "[.][soak]")
+// Not part of a default run: `replicastest "[soak]"`, with millions of steps.
+TEST_CASE("the replicated log keeps its guarantees in a long random run", "[.][soak]")
 {
     runSeeds(100000, 1000, 20000);
 }
--- a/test/replicas/raftsimulation.cpp
+++ b/test/replicas/raftsimulation.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t maxFlights = 2000;
+constexpr std::size_t maxMessagesInFlight = 2000;
 constexpr std::size_t statusBytes = sizeof(std::uint64_t);
 constexpr Milliseconds tickTime{10};
 
@@ -33,7 +33,7 @@
     for (std::size_t i = 0; i < instances; ++i) {
         Node node;
         node.folder = std::make_shared<FakeFolder>();
-        // Clocks run up to 4 % apart, less than the lease's margin of 10 %.
+        // Clock rates differ by up to 4 %, less than the 10 % margin of the lease.
         node.clockRate = 0.98 + static_cast<double>(this->pick(41)) / 1000.0;
         this->nodes.push_back(std::move(node));
         this->boot(this->nodes.back());
@@ -44,7 +44,7 @@
         list.members.push_back({addressOf(i), this->nodes[i].identity, addressOf(i), true});
     if (!this->core(0).form(list, this->clockOf(this->nodes[0])))
         this->fail("the group could not be formed");
-    this->carryOut(0);
+    this->processOutput(0);
 }
 
 RaftSimulation::~RaftSimulation() = default;
@@ -67,10 +67,10 @@
     auto recovered = node.journal->recover();
     if (!recovered && recovered.error().code == ErrorCode::WriteRefused) {
         node.journal.reset();
-        return; // its supervisor starts it again
+        return; // its supervisor restarts it
     }
     if (!recovered) {
-        this->fail("a replica does not start: " + recovered.error().message);
+        this->fail("a replica failed to start: " + recovered.error().message);
         return;
     }
     node.identity = recovered.value().replica;
@@ -87,7 +87,7 @@
     options.instance = addressOf(position);
     options.maxBatchBytes = 400;
     options.maxInFlightBytes = 2000;
-    options.snapshotChunkBytes = 3; // several pieces for the eight bytes of state
+    options.snapshotChunkBytes = 3; // splits the eight bytes of state into several chunks
     options.retainedEntries = 5;
     options.random = [this] { return this->random(); };
     node.core =
@@ -98,27 +98,27 @@
 {
     node.state = decode<std::uint64_t>(state).value();
     if (node.applied < this->stateAt.size() && this->stateAt[node.applied] != node.state)
-        this->fail("a snapshot holds another state than was committed");
+        this->fail("the state in a snapshot differs from the committed state");
 }
 
 void RaftSimulation::send(std::size_t index, std::vector<OutgoingMessage> &messages)
 {
     for (OutgoingMessage &outgoing : messages) {
-        Flight flight;
-        flight.from = index;
-        flight.message = std::move(outgoing.message);
+        InFlightMessage inFlight;
+        inFlight.from = index;
+        inFlight.message = std::move(outgoing.message);
         if (outgoing.replyTo != 0) {
             const auto call = this->calls.find(outgoing.replyTo);
             if (call == this->calls.end())
                 continue;
-            flight.to = call->second.caller;
-            flight.isReply = true;
-            flight.token = outgoing.replyTo;
+            inFlight.to = call->second.caller;
+            inFlight.isReply = true;
+            inFlight.token = outgoing.replyTo;
         } else {
-            flight.to = static_cast<std::size_t>(std::stoul(outgoing.address));
-            flight.token = ++this->lastToken;
-            this->calls[flight.token] = {index, flight.message.to};
-            if (auto *chunk = std::get_if<SnapshotRequest>(&flight.message.body)) {
+            inFlight.to = static_cast<std::size_t>(std::stoul(outgoing.address));
+            inFlight.token = ++this->lastToken;
+            this->calls[inFlight.token] = {index, inFlight.message.to};
+            if (auto *chunk = std::get_if<SnapshotRequest>(&inFlight.message.body)) {
                 auto bytes = this->nodes[index].journal->readSnapshot(
                     chunk->meta.index, chunk->offset, outgoing.chunkBytes);
                 if (!bytes)
@@ -126,22 +126,22 @@
                 chunk->chunk = std::move(bytes).value();
             }
         }
-        if (static_cast<int>(this->pick(100)) < this->odds.duplicate)
-            this->network.push_back(flight);
-        if (this->network.size() < maxFlights)
-            this->network.push_back(std::move(flight));
+        if (static_cast<int>(this->pick(100)) < this->faultRates.duplicate)
+            this->network.push_back(inFlight);
+        if (this->network.size() < maxMessagesInFlight)
+            this->network.push_back(std::move(inFlight));
     }
-    while (this->calls.size() > 4 * maxFlights)
+    while (this->calls.size() > 4 * maxMessagesInFlight)
         this->calls.erase(this->calls.begin());
 }
 
-void RaftSimulation::carryOut(std::size_t index)
+void RaftSimulation::processOutput(std::size_t index)
 {
     Node &node = this->nodes[index];
     RaftOutput output = node.core->takeOutput();
     while (!output.isEmpty()) {
         if (output.fault)
-            this->fail("broken invariant: " + output.fault->message);
+            this->fail("violated invariant: " + output.fault->message);
         node.unsaved.add(std::move(output), this->hooksOf(index));
         if (!this->store(index))
             return;
@@ -161,7 +161,7 @@
         Node &node = this->nodes[index];
         ++this->snapshotsInstalled;
         if (snapshot.meta.index < node.applied)
-            this->fail("a snapshot took a replica back");
+            this->fail("a snapshot reverted a replica to an earlier state");
         node.applied = snapshot.meta.index;
         this->restoreState(node, snapshot.state);
         return boost::outcome_v2::success();
@@ -169,7 +169,7 @@
     return hooks;
 }
 
-/// False if the replica was killed in a write.
+/// Returns false if the replica was killed during the write.
 bool RaftSimulation::store(std::size_t index)
 {
     Node &node = this->nodes[index];
@@ -199,7 +199,8 @@
                 this->fail("an entry was committed out of order");
             this->stateAt.push_back(nextState(this->stateAt.back(), entry));
         } else if (known->second != std::make_pair(entry.term, entry.payload)) {
-            this->fail("two entries were committed at " + std::to_string(entry.index));
+            this->fail("two different entries were committed at index "
+                       + std::to_string(entry.index));
         }
         if (entry.index != node.applied + 1)
             this->fail("a replica applied entries out of order");
@@ -221,27 +222,27 @@
 {
     if (this->network.empty())
         return;
-    const bool isDelayed = static_cast<int>(this->pick(100)) < this->odds.delay;
+    const bool isDelayed = static_cast<int>(this->pick(100)) < this->faultRates.delay;
     const std::size_t at = isDelayed ? this->pick(this->network.size()) : 0;
-    Flight flight = std::move(this->network[at]);
+    InFlightMessage inFlight = std::move(this->network[at]);
     this->network.erase(this->network.begin() + static_cast<std::ptrdiff_t>(at));
-    Node &node = this->nodes[flight.to];
-    const bool isCut = this->isolated.count(flight.from) != this->isolated.count(flight.to)
-        || this->cutLinks.count(std::minmax(flight.from, flight.to)) != 0;
-    if (isCut || !node.core || static_cast<int>(this->pick(100)) < this->odds.drop) {
-        Node &sender = this->nodes[flight.from];
-        const bool isTold = !flight.isReply && sender.core && this->pick(2) == 0;
+    Node &node = this->nodes[inFlight.to];
+    const bool isCut = this->isolated.count(inFlight.from) != this->isolated.count(inFlight.to)
+        || this->cutLinks.count(std::minmax(inFlight.from, inFlight.to)) != 0;
+    if (isCut || !node.core || static_cast<int>(this->pick(100)) < this->faultRates.drop) {
+        Node &sender = this->nodes[inFlight.from];
+        const bool isTold = !inFlight.isReply && sender.core && this->pick(2) == 0;
         if (isTold)
-            sender.core->unreachable(flight.message.to, this->clockOf(sender));
+            sender.core->unreachable(inFlight.message.to, this->clockOf(sender));
         return;
     }
     if (this->now < node.frozenUntil) {
-        this->network.push_back(std::move(flight)); // waits in its socket
+        this->network.push_back(std::move(inFlight)); // stays in the socket buffer
         return;
     }
-    node.core->receive(std::move(flight.message), flight.isReply ? 0 : flight.token,
+    node.core->receive(std::move(inFlight.message), inFlight.isReply ? 0 : inFlight.token,
                        this->clockOf(node));
-    this->carryOut(flight.to);
+    this->processOutput(inFlight.to);
 }
 
 void RaftSimulation::crash(std::size_t index)
@@ -262,14 +263,14 @@
         this->boot(this->nodes[index]);
 }
 
-/// Losing a disk is like losing a machine: within what the group tolerates if no other lost one
-/// still counts as a voter anywhere, and enough voters are left.
+/// A lost disk is equivalent to a lost machine. The group tolerates it only if no other replica
+/// that lost its disk still counts as a voter in any list, and enough voters remain.
 bool RaftSimulation::canLoseDisk() const
 {
     std::size_t fewest = this->nodes.size();
     for (const Node &node : this->nodes) {
         if (!node.core)
-            return false; // what it has stored cannot be seen
+            return false; // its stored lists cannot be inspected
         if (!node.core->isFormed() || node.core->members().members.empty())
             continue;
         for (const MemberList *list : {&node.core->members(), &node.core->committedMembers()}) {
@@ -313,7 +314,7 @@
     bool isProposed = false;
     for (std::size_t i = 0; i < batch; ++i)
         isProposed = this->core(*index).propose("c" + std::to_string(++this->commands)).has_value();
-    this->carryOut(*index);
+    this->processOutput(*index);
     return isProposed;
 }
 
@@ -330,7 +331,7 @@
             .addLearner({addressOf(index), this->nodes[index].identity, addressOf(index), false})
             .has_value();
     this->memberChanges += isAdded ? 1 : 0;
-    this->carryOut(*leads);
+    this->processOutput(*leads);
     return isAdded;
 }
 
@@ -360,7 +361,7 @@
 void RaftSimulation::transfer(std::size_t index)
 {
     (void)this->core(index).transferLeadership(this->clockOf(this->nodes[index])).has_value();
-    this->carryOut(index);
+    this->processOutput(index);
 }
 
 void RaftSimulation::randomFault()
@@ -375,7 +376,7 @@
     case 2:
         this->restart(index);
         break;
-    case 3: // killed within the next few steps of its disk
+    case 3: // killed within the next few disk operations
         if (node.core && node.folder->stepsLeft < 0)
             node.folder->stepsLeft = static_cast<std::int64_t>(1 + this->pick(8));
         break;
@@ -403,7 +404,7 @@
     }
 }
 
-/// Everything is killed at once, each replica in the middle of one of its next writes.
+/// Kills all replicas at once, each during one of its next writes.
 void RaftSimulation::powerLoss()
 {
     for (Node &node : this->nodes) {
@@ -435,21 +436,21 @@
         this->addMember(index);
         return;
     }
-    this->carryOut(*leads);
+    this->processOutput(*leads);
 }
 
 void RaftSimulation::step()
 {
-    if (!this->breach.empty())
+    if (!this->violation.empty())
         return;
-    this->fillDisks();
+    this->toggleFullDisk();
     const std::uint64_t choice = this->pick(1000);
     if (choice < 300) {
         this->now += Microseconds(200 + this->pick(3000));
         for (std::size_t i = 0; i < this->nodes.size(); ++i) {
             this->tick(this->nodes[i]);
             if (this->nodes[i].core && this->now >= this->nodes[i].frozenUntil)
-                this->carryOut(i);
+                this->processOutput(i);
         }
     } else if (choice < 950) {
         this->deliver();
@@ -465,11 +466,11 @@
     this->check();
 }
 
-/// Any number of disks may be full at a time.
-void RaftSimulation::fillDisks()
+/// Fills a random disk or frees its space. Any number of disks may be full at the same time.
+void RaftSimulation::toggleFullDisk()
 {
-    if (this->odds.fullDisk == 0
-        || static_cast<int>(this->diskRandom() % 1000) >= this->odds.fullDisk)
+    if (this->faultRates.fullDisk == 0
+        || static_cast<int>(this->diskRandom() % 1000) >= this->faultRates.fullDisk)
         return;
     Node &node = this->nodes[this->diskRandom() % this->nodes.size()];
     node.folder->isFull = !node.folder->isFull;
@@ -478,14 +479,14 @@
 void RaftSimulation::run(Milliseconds duration)
 {
     const Instant end = this->now + duration;
-    while (this->now < end && this->breach.empty()) {
+    while (this->now < end && this->violation.empty()) {
         this->now += Microseconds(tickTime) / 4;
         for (std::size_t i = 0; i < this->nodes.size(); ++i) {
             this->tick(this->nodes[i]);
             if (this->nodes[i].core && this->now >= this->nodes[i].frozenUntil)
-                this->carryOut(i);
+                this->processOutput(i);
         }
-        // Messages take a moment; an answer comes in a later round.
+        // Replies to the messages delivered here are delivered in a later round.
         for (std::size_t left = this->network.size(); left > 0 && !this->network.empty(); --left)
             this->deliver();
         this->check();
@@ -494,7 +495,7 @@
 
 bool RaftSimulation::recovers(Milliseconds limit)
 {
-    this->odds = {0, 0, 0};
+    this->faultRates = {0, 0, 0};
     this->isolated.clear();
     this->cutLinks.clear();
     for (std::size_t i = 0; i < this->nodes.size(); ++i) {
@@ -504,7 +505,7 @@
         this->restart(i);
     }
     const Instant end = this->now + limit;
-    while (this->now < end && this->breach.empty()) {
+    while (this->now < end && this->violation.empty()) {
         this->run(Milliseconds(500));
         const std::size_t before = this->commits();
         if (!this->proposeAtLeader())
@@ -533,26 +534,26 @@
     const RaftCore &core = *node.core;
     const auto [known, isNew] = this->leaderOfTerm.emplace(core.term(), core.self());
     if (known->second != core.self())
-        this->fail("two replicas lead in term " + std::to_string(core.term()));
+        this->fail("two replicas are leaders in term " + std::to_string(core.term()));
     if (isNew) {
         for (const auto &[index, entry] : this->committed) {
             const auto term = core.entries().termAt(index);
             if (index > core.entries().baseIndex() && term != entry.first)
-                this->fail("a leader lacks the committed entry " + std::to_string(index));
+                this->fail("a leader lacks the committed entry at index " + std::to_string(index));
         }
     }
     for (const auto &[replica, peer] : core.followers()) {
         if (peer.inFlightBytes > 2000 + 2 * 400 + 1000)
-            this->fail("more is under way to a follower than the bound");
+            this->fail("the bytes in flight to a follower exceed the limit");
     }
 }
 
-/// Reads under the lease are current: nobody else has committed anything in a later term.
+/// Reads under the lease are current if no other leader has committed an entry in a later term.
 void RaftSimulation::checkLease(const Node &node)
 {
     const bool holdsLease = this->clockOf(node) < node.core->leaseUntil();
     if (holdsLease && this->highestCommittedTerm > node.core->term())
-        this->fail("a leader holds a lease while another has committed");
+        this->fail("a leader holds a lease although another leader has committed an entry");
 }
 
 std::string RaftSimulation::describe() const
@@ -573,7 +574,7 @@
             for (const auto &[replica, peer] : core.followers()) {
                 text << "\n    follower " << std::hex << (idValue(replica) >> 48U) << std::dec
                      << " state " << static_cast<int>(peer.state) << " match " << peer.match
-                     << " next " << peer.next << " awaiting " << peer.awaiting;
+                     << " next " << peer.next << " awaiting " << peer.awaitingReply;
             }
         }
         text << "\n";
@@ -583,8 +584,8 @@
 
 void RaftSimulation::fail(const std::string &what)
 {
-    if (this->breach.empty())
-        this->breach = what;
+    if (this->violation.empty())
+        this->violation = what;
 }
 
 } // namespace guavavalve
--- a/test/replicas/raftsimulation.h
+++ b/test/replicas/raftsimulation.h
@@ -18,8 +18,9 @@
 
 namespace guavavalve {
 
-/// Several RaftCores, each with a real journal on a fake disk, on a fake network and fake clocks.
-/// After every step it checks what must always hold; the first breach is in failure().
+/// Several RaftCores, each with a real journal on a fake disk, connected by a simulated network and
+/// driven by simulated clocks. The Raft invariants are checked after every step; failure() returns
+/// the first violation.
 class RaftSimulation
 {
 public:
@@ -27,31 +28,33 @@
     {
         int drop = 5; ///< percent of messages lost
         int duplicate = 3; ///< percent delivered twice
-        int delay = 30; ///< percent that later ones may overtake
-        int fullDisk = 0; ///< of a thousand steps, those in which a disk fills up or has room again
+        int delay = 30; ///< percent that may be overtaken by later ones
+        int fullDisk = 0; ///< steps per thousand in which a disk becomes full or has space again
     };
 
     RaftSimulation(std::uint64_t seed, std::size_t instances, std::size_t voters);
     ~RaftSimulation();
 
-    /// One random event: time, messages, a command, a fault or a change of members.
+    /// Performs one random event: time passes, a message is delivered, a command is proposed, a
+    /// fault is injected or the membership changes.
     void step();
-    /// Ends all faults and runs until a command has gone through, or for \a limit of time.
+    /// Ends all faults and runs until a command has been committed. False if that takes longer than
+    /// \a limit.
     bool recovers(Milliseconds limit);
-    /// Time passes, without random faults.
+    /// Lets time pass without random faults.
     void run(Milliseconds duration);
 
     // Scripted events.
     void cutOff(std::size_t node) { this->isolated.insert(node); }
     void reconnect(std::size_t node) { this->isolated.erase(node); }
-    /// Cuts only the link between two, in both directions.
+    /// Cuts the link between two nodes in both directions.
     void cutLink(std::size_t a, std::size_t b) { this->cutLinks.insert(std::minmax(a, b)); }
     void crash(std::size_t node);
     void restart(std::size_t node);
     void eraseDisk(std::size_t node);
-    /// The replica is killed in its next write, before the sync.
     void setFull(std::size_t node, bool isFull) { this->nodes[node].folder->isFull = isFull; }
-    void dieInNextWrite(std::size_t node) { this->nodes[node].folder->stepsLeft = 1; }
+    /// The replica is killed in its next write, before the sync.
+    void crashInNextWrite(std::size_t node) { this->nodes[node].folder->stepsLeft = 1; }
     bool proposeAtLeader();
     std::optional<std::size_t> leader() const;
     RaftCore &core(std::size_t node) { return *this->nodes[node].core; }
@@ -60,14 +63,14 @@
     bool addMember(std::size_t node);
     void takeSnapshot(std::size_t node);
     void transfer(std::size_t node);
-    void setFaultRates(FaultRates value) { this->odds = value; }
+    void setFaultRates(FaultRates value) { this->faultRates = value; }
     std::uint64_t state(std::size_t node) const { return this->nodes[node].state; }
     LogIndex applied(std::size_t node) const { return this->nodes[node].applied; }
 
     static constexpr const char *none = "none";
-    bool hasFailed() const { return !this->breach.empty(); }
-    std::string failure() const { return this->breach.empty() ? none : this->breach; }
-    /// Every replica's state in a line, for a failed test.
+    bool hasFailed() const { return !this->violation.empty(); }
+    std::string failure() const { return this->violation.empty() ? none : this->violation; }
+    /// One line per replica, for the output of a failed test.
     std::string describe() const;
     std::size_t commits() const { return this->committed.size(); }
     std::size_t leaders() const { return this->leaderOfTerm.size(); }
@@ -86,15 +89,15 @@
         UnsavedOutput unsaved;
         ReplicaId identity = ReplicaId::None;
         LogIndex applied = 0;
-        std::uint64_t state = 0; ///< hash over all that has been applied
+        std::uint64_t state = 0; ///< hash of all applied entries
         Instant frozenUntil{};
         double clockRate = 1.0;
     };
-    struct Flight
+    struct InFlightMessage
     {
         std::size_t from = 0;
         std::size_t to = 0;
-        std::uint64_t token = 0; ///< of a request: what the reply comes back under
+        std::uint64_t token = 0; ///< identifies the request; the reply carries the same token
         bool isReply = false;
         RaftMessage message;
     };
@@ -108,10 +111,10 @@
     void boot(Node &node);
     void tick(Node &node);
     void deliver();
-    void carryOut(std::size_t index);
+    void processOutput(std::size_t index);
     bool store(std::size_t index);
     UnsavedOutput::Hooks hooksOf(std::size_t index);
-    void fillDisks();
+    void toggleFullDisk();
     void send(std::size_t index, std::vector<OutgoingMessage> &messages);
     void apply(Node &node);
     void restoreState(Node &node, const std::string &state);
@@ -126,14 +129,15 @@
     std::uint64_t pick(std::uint64_t bound) { return this->random() % bound; }
 
     std::mt19937_64 random;
-    std::mt19937_64 diskRandom; ///< apart, so that seeds without full disks play as they did
-    FaultRates odds;
+    /// Separate, so that full disks do not change the other random events of a seed.
+    std::mt19937_64 diskRandom;
+    FaultRates faultRates;
     Instant now{Microseconds(1000000)};
     std::deque<Node> nodes;
-    std::deque<Flight> network;
+    std::deque<InFlightMessage> network;
     std::map<std::uint64_t, Call> calls;
     std::set<std::size_t> isolated;
-    std::set<std::pair<std::size_t, std::size_t>> cutLinks; ///< the lower number first
+    std::set<std::pair<std::size_t, std::size_t>> cutLinks; ///< the lower node index first
     std::uint64_t lastToken = 0;
     std::uint64_t commands = 0;
     std::set<ReplicaId> lostIdentities;
@@ -142,7 +146,7 @@
     std::map<LogIndex, std::pair<std::uint64_t, std::string>> committed; ///< term and payload
     std::vector<std::uint64_t> stateAt{0}; ///< the state after each committed entry
     std::uint64_t highestCommittedTerm = 0;
-    std::string breach;
+    std::string violation;
 };
 
 } // namespace guavavalve
