--- a/src/replicas/appendreply.h
+++ b/src/replicas/appendreply.h
@@ -14,7 +14,7 @@
     LogIndex matchIndex = 0; ///< if accepted: the last entry known to match the leader's log
     LogIndex previousIndex = 0; ///< copied from the request
     LogIndex nextIndex = 0; ///< if rejected: the index from which the leader should retry
-    std::int64_t sentAt = 0;
+    std::int64_t sentAt = 0; ///< copied from the request
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/replicas/progress.h
+++ b/src/replicas/progress.h
@@ -17,7 +17,7 @@
     enum class State : std::uint8_t {
         Probe, ///< one message at a time, until a matching log index is known
         Replicate, ///< pipelined messages, bounded by RaftCoreOptions::maxInFlightBytes
-        Snapshot, ///< it needs entries that the leader has compacted away
+        Snapshot, ///< a snapshot is sent, since the entries it needs have been compacted away
     };
 
     struct InFlight
@@ -36,7 +36,7 @@
     Instant pausedUntil{}; ///< after a failed send: no retry before this instant
     Instant lastReplyAt{}; ///< when its last reply was received
     Instant lastAckedSendTime{}; ///< when the newest message that it has replied to was sent
-    bool everAnswered = false; ///< in this term
+    bool everReplied = false; ///< in this term
     SnapshotMeta snapshot;
     std::uint64_t snapshotOffset = 0;
     /// The replica that now answers at its address, because the disk there was lost; None if there
--- a/src/replicas/raftcore.cpp
+++ b/src/replicas/raftcore.cpp
@@ -34,13 +34,13 @@
 
 RaftCore::RaftCore(RaftCoreOptions settings, const RecoveredState &recovered, Instant start)
     : options(std::move(settings))
-    , own(recovered.replica)
+    , selfId(recovered.replica)
     , now(start)
     , hardState(recovered.hardState)
     // Counts the start as contact with the leader, to protect the leader's lease: a voter that
     // restarts has forgotten when it last heard from the leader. Without this wait it could help to
     // elect another one while the old leader still serves reads from its lease, and a client could
-    // be given a state older than an acknowledged change.
+    // read a state that lacks an acknowledged change.
     , lastLeaderContact(start)
 {
     this->memberHistory.push_back({});
@@ -251,8 +251,8 @@
 ReplicaRole RaftCore::role() const
 {
     const bool follows = this->currentRole == ReplicaRole::Follower;
-    return follows && !this->members().isVoter(this->own) ? ReplicaRole::Learner
-                                                          : this->currentRole;
+    return follows && !this->members().isVoter(this->selfId) ? ReplicaRole::Learner
+                                                             : this->currentRole;
 }
 
 RaftMessage RaftCore::makeMessage(ReplicaId to, RaftBody body) const
@@ -260,7 +260,7 @@
     RaftMessage message;
     message.group = this->options.group;
     message.formation = this->hardState.formation;
-    message.from = this->own;
+    message.from = this->selfId;
     message.to = to;
     message.term = this->hardState.term;
     message.body = std::move(body);
@@ -289,7 +289,7 @@
 void RaftCore::replyIdentity(const RaftMessage &request, std::uint64_t token)
 {
     this->reply(request, token,
-                IdentityReply{this->options.instance, this->own, this->hardState.formation, 0});
+                IdentityReply{this->options.instance, this->selfId, this->hardState.formation, 0});
 }
 
 void RaftCore::appendEntry(LogEntry entry)
@@ -351,7 +351,7 @@
 bool RaftCore::isAddressedHere(const RaftMessage &message) const
 {
     return message.group == this->options.group
-        && (message.to == this->own || message.to == ReplicaId::None);
+        && (message.to == this->selfId || message.to == ReplicaId::None);
 }
 
 void RaftCore::reportInvariantViolation(std::string message)
--- a/src/replicas/raftcore.h
+++ b/src/replicas/raftcore.h
@@ -39,11 +39,13 @@
     void tick(Instant now);
     /// \a token is returned in OutgoingMessage::replyTo if \a message is a request.
     void receive(RaftMessage message, std::uint64_t token, Instant now);
-    /// The last message to \a replica could not be delivered or got no reply.
+    /// Reports that the last message to \a replica could not be delivered or got no reply.
     void unreachable(ReplicaId replica, Instant now);
-    /// The batch and the snapshot of the last output have been synced.
+    /// Reports that the batch and the snapshot of the last output have been synced.
     void persisted();
-    /// A snapshot has been saved; entries that it covers may be dropped.
+    /// Reports that a snapshot has been saved and drops the entries that it covers, except for the
+    /// last RaftCoreOptions::retainedEntries as far as they fit into
+    /// RaftCoreOptions::retainedBytes.
     void compact(const SnapshotMeta &meta);
 
     /// \errors NotLeader; Unavailable while leadership is being transferred.
@@ -68,7 +70,7 @@
     std::vector<LogEntry> takeCommitted(std::size_t maxBytes);
 
     // State.
-    ReplicaId self() const { return this->own; }
+    ReplicaId self() const { return this->selfId; }
     ReplicaRole role() const;
     bool isFormed() const { return this->hardState.formation != 0; }
     std::uint64_t formation() const { return this->hardState.formation; }
@@ -173,10 +175,10 @@
     bool admitReplacement();
     bool promoteLearner();
     bool isCaughtUp(const MemberRecord &member) const;
-    bool hasAnswered(ReplicaId replica, Milliseconds within) const;
+    bool hasReplied(ReplicaId replica, Milliseconds within) const;
 
     RaftCoreOptions options;
-    ReplicaId own;
+    ReplicaId selfId;
     Instant now;
 
     HardState hardState;
@@ -191,16 +193,16 @@
     bool isPreCandidate = false;
     ReplicaId currentLeader = ReplicaId::None;
     Instant lastLeaderContact;
-    Instant electionAt;
+    Instant electionAt; ///< when an election starts without contact with a leader
     std::set<ReplicaId> votes;
     std::uint64_t startupId = 0; ///< ID of this process start; 0 once a leader is known
     Instant startupPreVoteAt{}; ///< when to send the next startup pre-vote
     std::map<ReplicaId, std::uint64_t> startupGrants; ///< voter to the startup ID in its grant
 
     std::map<ReplicaId, Progress> progress;
-    LogIndex noOpIndex = 0;
+    LogIndex noOpIndex = 0; ///< a leader's first entry in its term; zero for a follower
     Instant leadsSince{};
-    Instant heartbeatAt{};
+    Instant heartbeatAt{}; ///< when to send the next heartbeats
     ReplicaId transferTarget = ReplicaId::None;
     Instant transferUntil{};
     bool timeoutNowSent = false;
--- a/src/replicas/raftelection.cpp
+++ b/src/replicas/raftelection.cpp
@@ -22,11 +22,11 @@
 /// that case.
 bool RaftCore::canCampaign() const
 {
-    if (this->members().isVoter(this->own))
+    if (this->members().isVoter(this->selfId))
         return true;
     const std::size_t lists = this->memberHistory.size();
     return lists > 1 && this->memberHistory.back().index > this->commitIndex
-        && this->memberHistory[lists - 2].list.isVoter(this->own);
+        && this->memberHistory[lists - 2].list.isVoter(this->selfId);
 }
 
 /// Asks the voters whether an election could be won, without increasing any term (thesis, 9.6).
@@ -40,7 +40,7 @@
     this->isPreCandidate = true;
     this->currentLeader = ReplicaId::None;
     this->electionAt = this->randomElectionDeadline();
-    this->votes = {this->own};
+    this->votes = {this->selfId};
     this->countVotes(true);
     if (this->isPreCandidate)
         this->requestVotes(true, false);
@@ -52,7 +52,8 @@
     return this->startupId != 0 && this->currentRole != ReplicaRole::Leader;
 }
 
-/// Asks all voters whether they have no leader either, in a startup pre-vote.
+/// Asks all voters, in a startup pre-vote, whether they too have heard from no leader since they
+/// started.
 ///
 /// Avoids a full election timeout without a leader after all replicas have been restarted, which
 /// clients saw as 0.5 to 1 s of additional unavailability. A voter waits after a start, since it
@@ -64,10 +65,10 @@
 void RaftCore::requestStartupPreVotes()
 {
     this->startupPreVoteAt = this->now + this->options.heartbeat;
-    if (!this->members().isVoter(this->own))
+    if (!this->members().isVoter(this->selfId))
         return;
     this->startupGrants.clear();
-    this->startupGrants[this->own] = this->startupId;
+    this->startupGrants[this->selfId] = this->startupId;
     VoteRequest request;
     request.preVote = true;
     request.isStartupPreVote = true;
@@ -75,7 +76,7 @@
     request.lastIndex = this->log.lastIndex();
     request.lastTerm = this->log.lastTerm();
     for (const MemberRecord &member : this->members().members) {
-        if (member.voter && member.replica != this->own)
+        if (member.voter && member.replica != this->selfId)
             this->sendTo(member, request, false);
     }
 }
@@ -87,7 +88,7 @@
     answer.preVote = true;
     answer.forTerm = request.forTerm;
     const auto theirs = std::make_tuple(request.lastTerm, request.lastIndex, message.from);
-    const auto ours = std::make_tuple(this->log.lastTerm(), this->log.lastIndex(), this->own);
+    const auto ours = std::make_tuple(this->log.lastTerm(), this->log.lastIndex(), this->selfId);
     answer.granted =
         this->awaitsFirstLeader() && theirs > ours && request.forTerm > this->hardState.term;
     answer.startupId = answer.granted ? this->startupId : 0;
@@ -109,13 +110,13 @@
 void RaftCore::startElection(bool transfer)
 {
     this->setTerm(this->hardState.term + 1);
-    this->hardState.votedFor = this->own;
+    this->hardState.votedFor = this->selfId;
     this->hardStateChanged = true;
     this->currentRole = ReplicaRole::Candidate;
     this->isPreCandidate = false;
     this->currentLeader = ReplicaId::None;
     this->electionAt = this->randomElectionDeadline();
-    this->votes = {this->own};
+    this->votes = {this->selfId};
     this->countVotes(false);
     if (this->currentRole == ReplicaRole::Candidate)
         this->requestVotes(false, transfer);
@@ -130,7 +131,7 @@
     request.lastIndex = this->log.lastIndex();
     request.lastTerm = this->log.lastTerm();
     for (const MemberRecord &member : this->members().members) {
-        if (!member.voter || member.replica == this->own)
+        if (!member.voter || member.replica == this->selfId)
             continue;
         const auto grant = this->startupGrants.find(member.replica);
         request.startupId = preVote || grant == this->startupGrants.end() ? 0 : grant->second;
@@ -156,7 +157,7 @@
 {
     this->currentRole = ReplicaRole::Leader;
     this->startupId = 0;
-    this->currentLeader = this->own;
+    this->currentLeader = this->selfId;
     this->leadsSince = this->now;
     this->heartbeatAt = this->now + this->options.heartbeat;
     this->progress.clear();
@@ -227,7 +228,7 @@
 
 void RaftCore::onTimeoutNow(const RaftMessage &message)
 {
-    if (message.from == this->currentLeader && this->members().isVoter(this->own))
+    if (message.from == this->currentLeader && this->members().isVoter(this->selfId))
         this->startElection(true);
 }
 
@@ -236,7 +237,7 @@
     this->now = std::max(this->now, time);
     if (this->isFormed())
         return failure(ErrorCode::Conflict, "the group has been formed already");
-    if (!list.isVoter(this->own) || list.formation == 0) {
+    if (!list.isVoter(this->selfId) || list.formation == 0) {
         return failure(ErrorCode::InvalidArgument,
                        "the initial members must include the instance that forms the group");
     }
--- a/src/replicas/raftleader.cpp
+++ b/src/replicas/raftleader.cpp
@@ -222,7 +222,7 @@
         if (!member.voter)
             continue;
         const auto peer = this->progress.find(member.replica);
-        const bool isSelf = member.replica == this->own;
+        const bool isSelf = member.replica == this->selfId;
         matches.push_back(isSelf                             ? this->syncedIndex
                               : peer == this->progress.end() ? 0
                                                              : peer->second.match);
@@ -233,7 +233,7 @@
         return;
     this->commitIndex = index;
     const bool isRemoved = this->memberHistory.back().index <= this->commitIndex
-        && !this->members().isVoter(this->own);
+        && !this->members().isVoter(this->selfId);
     if (isRemoved)
         this->becomeFollower(this->hardState.term, ReplicaId::None);
 }
@@ -247,7 +247,7 @@
         if (!member.voter)
             continue;
         const auto peer = this->progress.find(member.replica);
-        const bool isSelf = member.replica == this->own;
+        const bool isSelf = member.replica == this->selfId;
         instants.push_back(isSelf                             ? this->now
                                : peer == this->progress.end() ? Instant{}
                                                               : peer->second.lastAckedSendTime);
--- a/src/replicas/raftmembership.cpp
+++ b/src/replicas/raftmembership.cpp
@@ -16,7 +16,7 @@
         peer = isMember ? std::next(peer) : this->progress.erase(peer);
     }
     for (const MemberRecord &member : this->members().members) {
-        if (member.replica == this->own || this->progress.count(member.replica) != 0)
+        if (member.replica == this->selfId || this->progress.count(member.replica) != 0)
             continue;
         Progress peer;
         peer.next = this->log.lastIndex() + 1;
@@ -131,7 +131,7 @@
     return false;
 }
 
-bool RaftCore::hasAnswered(ReplicaId replica, Milliseconds within) const
+bool RaftCore::hasReplied(ReplicaId replica, Milliseconds within) const
 {
     const auto peer = this->progress.find(replica);
     return peer != this->progress.end() && this->now <= peer->second.lastReplyAt + within;
@@ -145,8 +145,8 @@
     for (const MemberRecord &member : all) {
         const bool isReplaced = std::any_of(
             all.begin(), all.end(), [&](const auto &m) { return m.replaces == member.replica; });
-        const bool isUnresponsive = member.voter && member.replica != this->own
-            && !this->hasAnswered(member.replica, timeout);
+        const bool isUnresponsive = member.voter && member.replica != this->selfId
+            && !this->hasReplied(member.replica, timeout);
         if (isUnresponsive && !isReplaced)
             return member;
     }
@@ -158,19 +158,19 @@
     const auto peer = this->progress.find(member.replica);
     return peer != this->progress.end() && peer->second.state == Progress::State::Replicate
         && peer->second.match >= this->commitIndex
-        && this->hasAnswered(member.replica, this->options.electionMin);
+        && this->hasReplied(member.replica, this->options.electionMin);
 }
 
-/// Promotes a learner only after it has synced all committed entries: counted earlier, a second
-/// loss straight after a repair would leave a committed entry on too few disks. The replica that it
-/// replaces is removed first, so that the lost and the new replica never increase the quorum
-/// together.
+/// Promotes a learner only after it has synced all committed entries. If it counted as a voter
+/// earlier, a second loss straight after a repair would leave a committed entry on too few disks.
+/// The replica that it replaces is removed first, so that the lost and the new replica never
+/// increase the quorum together.
 bool RaftCore::promoteLearner()
 {
     for (const MemberRecord &member : this->members().members) {
         // While the replica to be replaced still replies, the learner remains a learner.
         if (member.voter || !this->isCaughtUp(member)
-            || this->hasAnswered(member.replaces, this->options.electionMin))
+            || this->hasReplied(member.replaces, this->options.electionMin))
             continue;
         MemberList list = this->members();
         const auto old = std::find_if(list.members.begin(), list.members.end(),
--- a/src/replicas/snapshotreply.h
+++ b/src/replicas/snapshotreply.h
@@ -13,7 +13,7 @@
     std::uint64_t checksum = 0;
     std::uint64_t nextOffset = 0;
     bool installed = false;
-    std::int64_t sentAt = 0;
+    std::int64_t sentAt = 0; ///< copied from the request
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/replicas/snapshotrequest.h
+++ b/src/replicas/snapshotrequest.h
@@ -12,7 +12,7 @@
 {
     SnapshotMeta meta;
     std::uint64_t offset = 0;
-    std::int64_t sentAt = 0;
+    std::int64_t sentAt = 0; ///< by the leader's clock; returned in the reply
     std::string chunk;
 
     template<typename Archive>
--- a/src/replicas/votereply.h
+++ b/src/replicas/votereply.h
@@ -4,6 +4,7 @@
 
 namespace guavavalve {
 
+/// A voter's reply to a VoteRequest.
 struct VoteReply
 {
     bool preVote = false;
--- a/src/replicas/voterequest.h
+++ b/src/replicas/voterequest.h
@@ -14,9 +14,11 @@
     std::uint64_t forTerm = 0;
     LogIndex lastIndex = 0;
     std::uint64_t lastTerm = 0;
-    bool isStartupPreVote = false; ///< sent before the voters' wait after a start is over
-    /// The startup ID that the receiver sent when it, like all other voters, granted the startup
-    /// pre-vote; it then does not wait before it votes. Zero if there is none.
+    /// Set by a replica that has not heard from a leader since its start; see
+    /// RaftCore::requestStartupPreVotes().
+    bool isStartupPreVote = false;
+    /// Set if all voters granted the startup pre-vote: the startup ID from the receiver's grant,
+    /// which lets it vote without waiting. Otherwise zero.
     std::uint64_t startupId = 0;
 
     template<typename Archive>
--- a/test/replicas/raftcoretest.cpp
+++ b/test/replicas/raftcoretest.cpp
@@ -169,7 +169,7 @@
     startGroup(simulation);
     const std::size_t old = leaderOf(simulation);
     simulation.cutOff(old);
-    simulation.proposeAtLeader(); // reaches nobody
+    simulation.proposeAtLeader(); // reaches no other replica
     simulation.run(severalTimeouts);
     REQUIRE(simulation.proposeAtLeader());
     simulation.run(anHour / 60);
--- a/test/replicas/raftsimulation.h
+++ b/test/replicas/raftsimulation.h
@@ -28,7 +28,7 @@
     {
         int drop = 5; ///< percent of messages lost
         int duplicate = 3; ///< percent delivered twice
-        int delay = 30; ///< percent that may be overtaken by later ones
+        int delay = 30; ///< percent delayed, so that later messages may overtake them
         int fullDisk = 0; ///< steps per thousand in which a disk becomes full or has space again
     };
 
