--- a/src/replicas/snapshotrequest.h
+++ b/src/replicas/snapshotrequest.h
@@ -7,12 +7,12 @@
 
 namespace guavavalve {
 
-/// One piece of the leader's snapshot.
+/// A chunk of the leader's snapshot.
 struct SnapshotRequest
 {
     SnapshotMeta meta;
     std::uint64_t offset = 0;
-    std::int64_t sentAt = 0;
+    std::int64_t sentAt = 0; ///< by the leader's clock; returned in the reply
     std::string chunk;
 
     template<typename Archive>
