--- a/src/core/attemptoutcome.h
+++ b/src/core/attemptoutcome.h
@@ -6,13 +6,13 @@
 
 namespace guavavalve {
 
-/// How an attempt ended, as far as an entry could learn.
+/// How an attempt ended, as far as the entry instance could determine.
 enum class AttemptOutcome : std::uint8_t {
-    Succeeded, ///< ran, and the target holds its whole answer
-    Failed, ///< ran, and the target reports a failure
-    Stopped, ///< began, and was ended by a stop
-    NeverStarted, ///< the connection was refused or the target promises that it never will start
-    Lost, ///< the target no longer knows: it ran under an incarnation that is over
+    Succeeded, ///< ran, and the target holds the complete answer
+    Failed, ///< ran, and the target reported a failure
+    Stopped, ///< started, and was then stopped on request
+    NeverStarted, ///< the connection was refused, or the target guarantees that it never starts
+    Lost, ///< unknown to the target: it ran under an earlier incarnation
 };
 
 inline constexpr EnumNames<AttemptOutcome, 5> attemptOutcomeNames{{
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -10,19 +10,19 @@
 using Microseconds = std::chrono::microseconds;
 using Milliseconds = std::chrono::milliseconds;
 
-/// A point on one process's monotonic clock. Never compared between processes: a message carries
-/// the time that remains, and the receiver turns it into a deadline of its own.
+/// A point on this process's monotonic clock. Instants of different processes must not be
+/// compared: messages carry the remaining time, and the receiver computes its own deadline.
 using Instant = std::chrono::time_point<std::chrono::steady_clock, Microseconds>;
 
-/// Source of the present time; tests supply their own.
+/// Source of the current time; tests supply their own.
 using Clock = std::function<Instant()>;
 
-/// The monotonic clock of this process, which counts the time that the machine was suspended.
+/// The monotonic time of this process, including time during which the machine was suspended.
 ///
-/// Guards against a lease that is believed after a suspension: the steady clock stands still
-/// meanwhile, so a leader that wakes would see its lease unspent although others have let it
-/// lapse. CLOCK_BOOTTIME goes on. Waits of the standard library use the steady clock, so a
-/// deadline is waited for by untilDeadline() and never handed to wait_until().
+/// Reads CLOCK_BOOTTIME because the steady clock stops during a suspension: a leader that resumes
+/// would still consider its lease valid after the other replicas have let it expire. Waits of the
+/// standard library use the steady clock, so wait for the duration that untilDeadline() returns
+/// and never pass an Instant to wait_until().
 inline Instant monotonicNow()
 {
     timespec now{};
@@ -31,15 +31,15 @@
         std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec)));
 }
 
-/// How long \a deadline is away, for a wait; zero if it has passed, an hour at the most (waits
-/// are repeated, and a larger span overflows in the library's arithmetic).
+/// The time remaining until \a deadline, for use in a wait: zero if it has passed, and one hour at
+/// most (waits are repeated, and a longer duration overflows in the standard library's arithmetic).
 inline Microseconds untilDeadline(Instant deadline)
 {
-    constexpr Microseconds longest = std::chrono::hours(1);
+    constexpr Microseconds maxWait = std::chrono::hours(1);
     const Instant now = monotonicNow();
     if (deadline <= now)
         return Microseconds(0);
-    return deadline - now < longest ? deadline - now : longest;
+    return deadline - now < maxWait ? deadline - now : maxWait;
 }
 
 } // namespace guavavalve
--- a/src/core/codec.h
+++ b/src/core/codec.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// \a value as bytes. Cost: linear in its size.
+/// Serializes \a value. Cost: linear in its size.
 template<typename T>
 std::string encode(const T &value)
 {
@@ -19,8 +19,8 @@
     return bytes;
 }
 
-/// The value that \a bytes hold: the one place where received bytes become values.
-/// \errors Corrupt if they end early, claim impossible lengths, or have bytes left over.
+/// Deserializes a value from \a bytes. All received bytes are decoded by this function.
+/// \errors Corrupt if \a bytes are truncated, contain an impossible length or have trailing bytes.
 template<typename T>
 Result<T> decode(std::string_view bytes)
 {
@@ -29,7 +29,7 @@
         MemoryInputArchive archive(bytes);
         archive(value);
         if (archive.bytesLeft() != 0)
-            return failure(ErrorCode::Corrupt, "the message has bytes left over");
+            return failure(ErrorCode::Corrupt, "the message has trailing bytes");
         return value;
     } catch (const std::exception &problem) {
         return failure(ErrorCode::Corrupt, problem.what());
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// The vocabulary that every other module shares: identities, resources, classes of work, time
-/// and errors as values. It depends on nothing of ours.
+/// Basic types that all other modules share: identifiers, resources, work classes, time and error
+/// values. Depends on no other module of this project.
 
 #include "core/attemptoutcome.h"
 #include "core/clock.h"
--- a/src/core/done.h
+++ b/src/core/done.h
@@ -6,12 +6,12 @@
 
 namespace guavavalve {
 
-/// Called exactly once with the outcome of an asynchronous operation, from any thread. It must
-/// not block.
+/// Completion handler of an asynchronous operation: called exactly once with the outcome, from any
+/// thread. It must not block.
 template<typename T>
 using Done = std::function<void(Result<T>)>;
 
-/// The value of an operation that has only success or an error to tell.
+/// Value type of an operation that succeeds without a value or fails.
 struct Nothing
 {
     template<typename Archive>
--- a/src/core/enumnames.h
+++ b/src/core/enumnames.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// The table of an enumeration's names: one row an enumerator.
+/// Table of an enumeration's names, one row per enumerator.
 template<typename Enum, std::size_t Count>
 using EnumNames = std::array<std::pair<Enum, std::string_view>, Count>;
 
@@ -23,7 +23,7 @@
     return "unknown";
 }
 
-/// The enumerator called \a name in \a table, if there is one.
+/// The enumerator named \a name in \a table, if there is one.
 template<typename Enum, std::size_t Count>
 constexpr std::optional<Enum> enumFromName(const EnumNames<Enum, Count> &table,
                                            std::string_view name)
--- a/src/core/error.h
+++ b/src/core/error.h
@@ -11,7 +11,7 @@
 
 namespace guavavalve {
 
-/// Whether work may have begun when a request failed. `No` is a promise.
+/// Whether the work may have started before the request failed. `No` is a guarantee.
 enum class Ran : std::uint8_t { No, Yes, Unknown };
 
 inline constexpr EnumNames<Ran, 3> ranNames{{
@@ -20,24 +20,24 @@
     {Ran::Unknown, "unknown"},
 }};
 
-/// Why something was refused or failed.
+/// Reason for which a request was refused or an operation failed.
 enum class ErrorCode : std::uint8_t {
-    InvalidArgument, ///< the request itself is wrong; sending it again changes nothing
-    Unauthenticated, ///< no key, or one that is unknown or withdrawn
-    PermissionDenied, ///< the key's team may not do this
-    NotFound, ///< no such thing
-    Conflict, ///< the version or the identity is already taken by something else
-    NeverFits, ///< no announced target could ever hold it
-    LimitExceeded, ///< over the team's upper limit or a bounded queue
-    DeadlineExceeded, ///< it cannot start, or did not finish, by its deadline
+    InvalidArgument, ///< the request itself is invalid; a retry cannot succeed
+    Unauthenticated, ///< no key, or one that is unknown or revoked
+    PermissionDenied, ///< the key's team is not allowed to do this
+    NotFound, ///< the requested object does not exist
+    Conflict, ///< the version or the identity is already in use elsewhere
+    NeverFits, ///< exceeds the total capacity of every announced target
+    LimitExceeded, ///< exceeds the team's upper limit or the capacity of a queue
+    DeadlineExceeded, ///< cannot start, or did not finish, by its deadline
     Cancelled, ///< cancelled by its caller
-    Unavailable, ///< no controller, quorum or lease at the moment
-    NotLeader, ///< this replica does not lead; the message names who does, if known
-    TargetFailed, ///< the target ran it and failed
-    IncompleteAnswer, ///< less arrived than the target announced
-    Corrupt, ///< stored or received bytes fail their checks
-    Internal, ///< a fault of ours
-    WriteRefused, ///< the disk took nothing of a write, as a full one does: it may be tried again
+    Unavailable, ///< no controller, quorum or lease is currently available
+    NotLeader, ///< this replica is not the leader; the message names the leader if known
+    TargetFailed, ///< the target ran the work and failed
+    IncompleteAnswer, ///< the answer is shorter than the target announced
+    Corrupt, ///< stored or received bytes are invalid
+    Internal, ///< a defect of this program
+    WriteRefused, ///< nothing was written, e.g. because the disk is full; a retry may succeed
 };
 
 inline constexpr EnumNames<ErrorCode, 16> errorCodeNames{{
@@ -63,11 +63,11 @@
 struct Error
 {
     ErrorCode code = ErrorCode::Internal;
-    /// What happened, what was expected and what to do, for a person to read.
+    /// Human-readable: what happened, what was expected and what to do.
     std::string message;
     Ran ran = Ran::No;
-    /// How long the caller should wait before it comes back; zero: no use in coming back.
-    /// On the wire only, so a duration and not a deadline.
+    /// How long the caller should wait before a retry; zero: a retry is pointless.
+    /// Only used on the wire, hence a duration and not a deadline.
     Milliseconds retryAfter{0};
 
     template<typename Archive>
@@ -79,8 +79,9 @@
     }
 };
 
-/// A value or an Error. Boost.Outcome stands in for Boost.LEAF, which cannot be installed beside
-/// cpprestsdk's Boost 1.74. Reading the value of an error is a broken invariant and terminates.
+/// A value or an Error. Uses Boost.Outcome because Boost.LEAF cannot be installed alongside the
+/// Boost 1.74 of cpprestsdk. Accessing the value of an error is a violated precondition and
+/// terminates the process.
 template<typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
--- a/src/core/memoryarchive.h
+++ b/src/core/memoryarchive.h
@@ -14,10 +14,11 @@
 
 namespace guavavalve {
 
-static_assert(__BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__,
-              "the wire format is little-endian; add byte swapping to the archives to build here");
+static_assert(
+    __BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__,
+    "the wire format is little-endian; add byte swapping to the archives for this platform");
 
-/// A cereal archive that appends little-endian bytes to a string, without a stream between.
+/// A cereal archive that appends little-endian bytes directly to a string, without a stream.
 class MemoryOutputArchive
     : public cereal::OutputArchive<MemoryOutputArchive, cereal::AllowEmptyClassElision>
 {
@@ -36,11 +37,11 @@
     std::string &bytes;
 };
 
-/// A cereal archive that reads from memory and trusts no length in it.
+/// A cereal archive that reads from memory and validates every length before using it.
 ///
-/// Guards against a damaged or foreign message that claims a huge container, which would show as
-/// the process being killed for memory: every element takes a byte at the least, so a claimed
-/// count above the bytes that are left is refused before anything is allocated.
+/// Guards against a damaged or foreign message that claims a huge container, for which the process
+/// would run out of memory and be killed. Every element takes at least one byte, so a claimed count
+/// above the number of remaining bytes is rejected before anything is allocated.
 class MemoryInputArchive
     : public cereal::InputArchive<MemoryInputArchive, cereal::AllowEmptyClassElision>
 {
@@ -53,9 +54,9 @@
     void loadBinary(void *data, std::size_t size)
     {
         if (size > this->rest.size())
-            throw cereal::Exception("the message ends too early");
+            throw cereal::Exception("the message is truncated");
         if (size == 0)
-            return; // an empty vector has no address to copy to
+            return; // the data pointer of an empty vector may be null
         std::memcpy(data, this->rest.data(), size);
         this->rest.remove_prefix(size);
     }
@@ -77,7 +78,7 @@
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(MemoryInputArchive &archive,
                                                                     T &value)
 {
-    // Any other byte than 0 or 1 in a bool is undefined behaviour.
+    // Copying a byte other than 0 or 1 into a bool is undefined behaviour.
     if constexpr (std::is_same_v<T, bool>) {
         std::uint8_t byte = 0;
         archive.loadBinary(&byte, sizeof(byte));
@@ -111,7 +112,8 @@
     archive(pair.value);
 }
 
-/// Sizes take seven bits a byte, lowest first: one byte for most and not eight.
+/// Sizes are encoded in seven bits per byte, least significant first, so that most take one byte
+/// instead of eight.
 template<typename T>
 void CEREAL_SAVE_FUNCTION_NAME(MemoryOutputArchive &archive, const cereal::SizeTag<T> &tag)
 {
@@ -131,17 +133,19 @@
     std::uint8_t byte = 0x80;
     for (unsigned shift = 0; (byte & 0x80) != 0; shift += 7) {
         if (shift > lastShift)
-            throw cereal::Exception("a size takes too many bytes");
+            throw cereal::Exception("a size is encoded in too many bytes");
         archive(byte);
         size |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
     }
     if (size > archive.bytesLeft())
-        throw cereal::Exception("a container claims more elements than the message has bytes");
+        throw cereal::Exception(
+            "a container claims more elements than there are bytes left in the message");
     tag.size = static_cast<std::remove_reference_t<T>>(size);
 }
 
-/// Element by element, so that memory follows what has arrived: elements are larger in memory
-/// than on the wire, and a count that passes the check above could still ask for gigabytes.
+/// Loads element by element, so that memory use grows with the bytes that were received: elements
+/// are larger in memory than on the wire, and a count that passes the check above could still
+/// require gigabytes.
 template<typename T, typename Allocator>
 std::enable_if_t<!std::is_arithmetic_v<T>>
 CEREAL_LOAD_FUNCTION_NAME(MemoryInputArchive &archive, std::vector<T, Allocator> &elements)
--- a/src/core/resourcelimit.h
+++ b/src/core/resourcelimit.h
@@ -6,10 +6,10 @@
 
 namespace guavavalve {
 
-/// The amount that stands for "no limit"; far from overflow when amounts are added to it.
+/// Amount that means "no limit"; small enough that adding other amounts does not overflow.
 inline constexpr std::int64_t unlimitedAmount = std::int64_t{1} << 53;
 
-/// No limit on any kind of resource.
+/// Amounts that limit no kind of resource.
 inline Resources unlimitedResources()
 {
     Resources all;
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// The kinds of resource a target has and a task needs.
+/// Kinds of resource that targets provide and tasks require.
 enum class ResourceKind : std::uint8_t { MilliCores, MemoryMb, Accelerators, Slots, Connections };
 
 inline constexpr std::size_t resourceKindCount = 5;
@@ -16,7 +16,7 @@
 inline constexpr std::array<std::string_view, resourceKindCount> resourceKindNames{
     "milliCores", "memoryMb", "accelerators", "slots", "connections"};
 
-/// An amount of each kind of resource: what a target has, or what a task needs.
+/// An amount of each kind of resource, as provided by a target or required by a task.
 struct Resources
 {
     std::array<std::int64_t, resourceKindCount> amounts{};
@@ -51,7 +51,7 @@
     }
     friend bool operator!=(const Resources &a, const Resources &b) { return !(a == b); }
 
-    /// True if every amount is at most that of \a room.
+    /// True if no amount exceeds that of \a room.
     bool fitsInto(const Resources &room) const
     {
         for (std::size_t i = 0; i < resourceKindCount; ++i) {
@@ -61,14 +61,14 @@
         return true;
     }
 
-    /// True if no amount is below zero.
+    /// True if no amount is negative.
     bool isNonNegative() const
     {
         return std::all_of(this->amounts.begin(), this->amounts.end(),
                            [](std::int64_t amount) { return amount >= 0; });
     }
 
-    /// The largest fraction that these amounts are of \a total, over the kinds that \a total has
+    /// The largest ratio of an amount to that of \a total, over the kinds that \a total provides
     /// (the dominant share of DRF, Ghodsi et al., 2011).
     double dominantShare(const Resources &total) const
     {
--- a/src/core/taskstate.h
+++ b/src/core/taskstate.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// Where a task stands.
+/// Lifecycle state of a task.
 enum class TaskState : std::uint8_t { Waiting, Placed, Succeeded, Failed, Cancelled, Unknown };
 
 inline constexpr EnumNames<TaskState, 6> taskStateNames{{
--- a/src/core/workclass.h
+++ b/src/core/workclass.h
@@ -6,12 +6,12 @@
 
 namespace guavavalve {
 
-/// What kind of work a task is; policies differ by class (the brief, "Our workloads").
+/// Kind of work that a task does; scheduling policies differ by class.
 enum class WorkClass : std::uint8_t {
-    Prompt, ///< answered at once: status checks, confirmations
+    Prompt, ///< needs an immediate answer: status checks, confirmations
     Service, ///< runs until stopped, spread over failure domains
-    Batch, ///< may wait, and gives way
-    Gang, ///< all of the job's tasks run at once, or none
+    Batch, ///< may wait, and may be preempted
+    Gang, ///< the tasks of a job run all at once or not at all
 };
 
 inline constexpr std::size_t workClassCount = 4;
--- a/test/core/codectest.cpp
+++ b/test/core/codectest.cpp
@@ -45,10 +45,10 @@
 }
 
 // A damaged message claims a container of 2^60 elements. Without the check on lengths the process
-// asks for that much memory and is killed; the caller sees a dropped connection.
+// requests that much memory and is killed; the caller sees a dropped connection.
 TEST_CASE("a message that claims an impossible length is refused", "[codec]")
 {
-    const std::string claim = std::string(8, '\x80') + '\x10'; // seven bits a byte: 2^60
+    const std::string claim = std::string(8, '\x80') + '\x10'; // seven bits per byte: 2^60
     const auto text = decode<std::string>(claim + "abc");
     REQUIRE(text.has_error());
     CHECK(text.error().code == ErrorCode::Corrupt);
@@ -56,7 +56,7 @@
     CHECK(decode<std::string>(std::string(11, '\x80') + "abc").has_error());
 }
 
-TEST_CASE("no prefix and no damaged byte of a message stops the decoder", "[codec]")
+TEST_CASE("truncated messages are refused and damaged ones do not crash the decoder", "[codec]")
 {
     const std::string whole = encode(sample());
     for (std::size_t length = 0; length < whole.size(); ++length)
--- a/test/core/resourcestest.cpp
+++ b/test/core/resourcestest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a task fits only where every kind of resource does", "[resources]")
+TEST_CASE("a task fits only if every kind of resource does", "[resources]")
 {
     Resources room{{4000, 8192, 1, 8, 64}};
     CHECK(Resources{{4000, 8192, 1, 8, 64}}.fitsInto(room));
@@ -23,7 +23,7 @@
     CHECK(Resources{{1000, 4096, 0, 1, 1}}.dominantShare(room) == 0.5);
 }
 
-TEST_CASE("errors are values with a code that has a name", "[error]")
+TEST_CASE("an error is a value whose code has a name", "[error]")
 {
     CHECK(half(4).value() == 2);
     const auto odd = half(3);
