--- a/src/journal/checksum.h
+++ b/src/journal/checksum.h
@@ -5,7 +5,7 @@
 
 namespace guavavalve {
 
-/// XXH3 of \a bytes: against damage, not against malice.
+/// XXH3 of \a bytes. Detects accidental damage, not tampering.
 std::uint64_t checksumOf(std::string_view bytes, std::uint64_t seed = 0);
 
 } // namespace guavavalve
--- a/src/journal/disk.h
+++ b/src/journal/disk.h
@@ -9,28 +9,29 @@
 
 namespace guavavalve {
 
-/// One folder of files, as the journal needs it. Names have no folder part. Nothing is durable
-/// before its sync: a file's bytes by sync(), its name by syncFolder().
+/// The operations on a folder of files that the journal needs. File names have no directory part.
+/// Nothing is durable until it is synced: a file's bytes by sync(), its name by syncFolder().
 class Disk
 {
 public:
     virtual ~Disk() = default;
 
-    /// Keeps other processes from the folder until this object ends.
-    /// \errors Conflict if another has it.
+    /// Locks the folder against other processes until this object is destroyed.
+    /// \errors Conflict if another process holds the lock.
     virtual Result<void> lock(const std::string &name) = 0;
     virtual Result<std::vector<std::string>> list() = 0;
     virtual Result<std::string> read(const std::string &name) = 0;
-    virtual Result<std::string> readPart(const std::string &name, std::uint64_t offset,
-                                         std::size_t length) = 0;
-    /// Appends, creating the file if need be.
-    /// \errors WriteRefused: nothing of it is in the file, now or later. So for the changes below,
-    /// but for the syncs: after an error of theirs nobody knows what is on the disk.
+    virtual Result<std::string> readRange(const std::string &name, std::uint64_t offset,
+                                          std::size_t length) = 0;
+    /// Appends \a bytes, creating the file if necessary.
+    /// \errors WriteRefused: none of the bytes are in the file, now or later. The same holds for
+    /// the other modifying functions below, except the syncs: after a failed sync it is unknown
+    /// what is on the disk.
     virtual Result<void> append(const std::string &name, const std::string &bytes) = 0;
     virtual Result<void> truncate(const std::string &name, std::uint64_t size) = 0;
     virtual Result<void> sync(const std::string &name) = 0;
     virtual Result<void> rename(const std::string &from, const std::string &to) = 0;
-    /// No error if it is not there.
+    /// No error if the file does not exist.
     virtual Result<void> remove(const std::string &name) = 0;
     virtual Result<void> syncFolder() = 0;
 };
--- a/src/journal/frame.cpp
+++ b/src/journal/frame.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::uint32_t frameMark = 0x4d465647; // "GVFM"
-constexpr std::size_t lengthAt = 4;
-constexpr std::size_t sequenceAt = 8;
-constexpr std::size_t checksumAt = 16;
+constexpr std::uint32_t frameMagic = 0x4d465647; // "GVFM"
+constexpr std::size_t lengthOffset = 4;
+constexpr std::size_t sequenceOffset = 8;
+constexpr std::size_t checksumOffset = 16;
 
 template<typename T>
 T readAt(std::string_view bytes, std::size_t offset)
@@ -27,11 +27,11 @@
     std::memcpy(bytes.data() + offset, &value, sizeof(value));
 }
 
-/// Over the length, the sequence and the payload.
+/// Covers the magic, the length, the sequence and the payload.
 std::uint64_t frameChecksum(std::string_view header, std::string_view payload, std::uint64_t seed)
 {
     const std::uint64_t body = checksumOf(payload, seed);
-    return checksumOf(header.substr(0, checksumAt), body);
+    return checksumOf(header.substr(0, checksumOffset), body);
 }
 
 } // namespace
@@ -39,33 +39,34 @@
 std::string encodeFrame(std::uint64_t sequence, std::string_view payload, std::uint64_t seed)
 {
     std::string bytes(Frame::headerBytes, '\0');
-    writeAt(bytes, 0, frameMark);
-    writeAt(bytes, lengthAt, static_cast<std::uint32_t>(payload.size()));
-    writeAt(bytes, sequenceAt, sequence);
-    writeAt(bytes, checksumAt, frameChecksum(bytes, payload, seed));
+    writeAt(bytes, 0, frameMagic);
+    writeAt(bytes, lengthOffset, static_cast<std::uint32_t>(payload.size()));
+    writeAt(bytes, sequenceOffset, sequence);
+    writeAt(bytes, checksumOffset, frameChecksum(bytes, payload, seed));
     bytes.append(payload);
     return bytes;
 }
 
 std::optional<Frame> decodeFrame(std::string_view bytes, std::uint64_t seed)
 {
-    if (bytes.size() < Frame::headerBytes || readAt<std::uint32_t>(bytes, 0) != frameMark)
+    if (bytes.size() < Frame::headerBytes || readAt<std::uint32_t>(bytes, 0) != frameMagic)
         return std::nullopt;
-    const auto length = readAt<std::uint32_t>(bytes, lengthAt);
+    const auto length = readAt<std::uint32_t>(bytes, lengthOffset);
     if (length > Frame::maxPayloadBytes || length > bytes.size() - Frame::headerBytes)
         return std::nullopt;
     Frame frame;
-    frame.sequence = readAt<std::uint64_t>(bytes, sequenceAt);
+    frame.sequence = readAt<std::uint64_t>(bytes, sequenceOffset);
     frame.payload = bytes.substr(Frame::headerBytes, length);
-    if (frameChecksum(bytes, frame.payload, seed) != readAt<std::uint64_t>(bytes, checksumAt))
+    if (frameChecksum(bytes, frame.payload, seed) != readAt<std::uint64_t>(bytes, checksumOffset))
         return std::nullopt;
     return frame;
 }
 
 bool holdsLaterFrame(std::string_view bytes, std::uint64_t sequence, std::uint64_t seed)
 {
-    const std::string mark(reinterpret_cast<const char *>(&frameMark), sizeof(frameMark));
-    for (auto at = bytes.find(mark); at != std::string_view::npos; at = bytes.find(mark, at + 1)) {
+    const std::string magic(reinterpret_cast<const char *>(&frameMagic), sizeof(frameMagic));
+    for (auto at = bytes.find(magic); at != std::string_view::npos;
+         at = bytes.find(magic, at + 1)) {
         const auto frame = decodeFrame(bytes.substr(at), seed);
         if (frame && frame->sequence >= sequence)
             return true;
--- a/src/journal/hardstate.h
+++ b/src/journal/hardstate.h
@@ -6,12 +6,13 @@
 
 namespace guavavalve {
 
-/// What a replica must have synced before it answers (Ongaro and Ousterhout, 2014, figure 2).
+/// State that a replica must sync before it responds (Ongaro and Ousterhout, 2014, figure 2).
 struct HardState
 {
     std::uint64_t term = 0;
     ReplicaId votedFor = ReplicaId::None;
-    /// Random number of the group's one formation; zero until it has reached this replica.
+    /// Random number that identifies the group's formation, which takes place only once; zero until
+    /// this replica has learned of it.
     std::uint64_t formation = 0;
 
     template<typename Archive>
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <utility>
 
-// Writing; journalrecovery.cpp reads back.
+// The write path; recovery is in journalrecovery.cpp.
 
 namespace guavavalve {
 
@@ -22,7 +22,8 @@
 
 Journal::~Journal() = default;
 
-/// Frames of another replica do not check: bytes copied between folders are not taken for ours.
+/// Seed of the checksums. It is specific to the replica, so frames that were copied from another
+/// replica's folder fail their check.
 std::uint64_t Journal::seed() const
 {
     return idValue(this->identity.replica);
@@ -40,13 +41,14 @@
     const std::string name = segmentName(segment.number);
     const std::string payload = encode(batch);
     if (payload.size() > Frame::maxPayloadBytes)
-        return failure(ErrorCode::LimitExceeded, "the batch is larger than a frame may be");
+        return failure(ErrorCode::LimitExceeded, "the batch exceeds the maximum size of a frame");
     const std::string bytes = encodeFrame(this->nextSequence, payload, this->seed());
     if (auto appended = this->disk->append(name, bytes); !appended)
         return appended;
     ++this->nextSequence;
-    // Only now: a later segment's header must not be ahead of its batches. A crash between them
-    // would leave a replica that counts as formed and has no first entry.
+    // Set only after the append, so that the header of a later segment is never ahead of the
+    // batches: a crash between the two would leave a replica that counts as formed but lacks the
+    // first entry.
     if (batch.hardState)
         this->hardState = *batch.hardState;
     segment.bytes += bytes.size();
@@ -63,31 +65,32 @@
     header.number = this->segments.empty() ? 1 : this->segments.back().number + 1;
     header.firstSequence = this->nextSequence;
     header.hardState = this->hardState;
-    const std::string bytes = fileMark(segmentMark) + encodeFrame(0, encode(header), this->seed());
-    if (auto put = this->putBeside(segmentName(header.number), bytes); !put)
+    const std::string bytes =
+        fileMagic(segmentMagic) + encodeFrame(0, encode(header), this->seed());
+    if (auto put = this->writeFileAtomically(segmentName(header.number), bytes); !put)
         return put;
     this->segments.push_back({header.number, bytes.size(), 0});
     return boost::outcome_v2::success();
 }
 
-/// Guards against a crash in the middle: under its own name a file is always whole, since the
-/// bytes are synced before the name is given and the name before anyone relies on it.
-Result<void> Journal::putBeside(const std::string &name, const std::string &head,
-                                const std::string &rest)
+/// Writes to a temporary file and renames it, so that a file under its final name is complete even
+/// after a crash: the bytes are synced before the rename, and the name before the file is used.
+Result<void> Journal::writeFileAtomically(const std::string &name, const std::string &head,
+                                          const std::string &rest)
 {
-    const std::string beside = name + std::string(besideSuffix);
-    // What a refused try has left: the bytes would stand in the file twice.
-    if (auto removed = this->disk->remove(beside); !removed)
+    const std::string temporary = name + std::string(temporarySuffix);
+    // Bytes left by a refused attempt would otherwise be in the file twice.
+    if (auto removed = this->disk->remove(temporary); !removed)
         return removed;
-    if (auto appended = this->disk->append(beside, head); !appended)
+    if (auto appended = this->disk->append(temporary, head); !appended)
         return appended;
-    if (!rest.empty()) { // apart, since joining them would copy a snapshot
-        if (auto appended = this->disk->append(beside, rest); !appended)
+    if (!rest.empty()) { // separately, since concatenating them would copy the snapshot
+        if (auto appended = this->disk->append(temporary, rest); !appended)
             return appended;
     }
-    if (auto synced = this->disk->sync(beside); !synced)
+    if (auto synced = this->disk->sync(temporary); !synced)
         return synced;
-    if (auto renamed = this->disk->rename(beside, name); !renamed)
+    if (auto renamed = this->disk->rename(temporary, name); !renamed)
         return renamed;
     return this->disk->syncFolder();
 }
@@ -97,14 +100,14 @@
     const std::lock_guard saving(this->saveMutex);
     if (meta.index <= this->snapshotIndex)
         return boost::outcome_v2::success();
-    const std::string head = fileMark(snapshotMark)
+    const std::string head = fileMagic(snapshotMagic)
         + encodeFrame(meta.index, encode(SnapshotHeader{journalFormat, this->identity, meta}),
                       this->seed());
-    if (auto put = this->putBeside(snapshotName(meta.index), head, state); !put)
+    if (auto put = this->writeFileAtomically(snapshotName(meta.index), head, state); !put)
         return put;
     const std::lock_guard reading(this->snapshotMutex);
     const LogIndex older = std::exchange(this->snapshotIndex, meta.index);
-    this->snapshotStateAt = head.size();
+    this->snapshotStateOffset = head.size();
     if (older != 0)
         return this->disk->remove(snapshotName(older));
     return boost::outcome_v2::success();
@@ -115,12 +118,12 @@
     const std::lock_guard lock(this->snapshotMutex);
     if (index != this->snapshotIndex)
         return failure(ErrorCode::NotFound, "a newer snapshot has replaced this one");
-    return this->disk->readPart(snapshotName(index), this->snapshotStateAt + offset, length);
+    return this->disk->readRange(snapshotName(index), this->snapshotStateOffset + offset, length);
 }
 
 Result<void> Journal::release(LogIndex through)
 {
-    // Oldest first, so that what is left is always a run without gaps, also after a crash.
+    // Oldest first, so that the remaining segments have no gap, not even after a crash.
     while (this->segments.size() > 1 && this->segments.front().lastIndex <= through) {
         if (auto removed = this->disk->remove(segmentName(this->segments.front().number));
             !removed) {
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -14,9 +14,9 @@
 
 namespace guavavalve {
 
-/// A replica's folder: a lock file, numbered segments of checksummed frames, and a snapshot.
+/// Storage in a folder with a lock file, numbered segments of checksummed frames, and a snapshot.
 ///
-/// docs/design/replication.md describes the files and what each guards against.
+/// docs/design/replication.md describes the files and the faults that each guards against.
 class Journal : public Storage
 {
 public:
@@ -30,7 +30,7 @@
                                      std::size_t length) override;
     Result<void> release(LogIndex through) override;
 
-    /// Segments there are, the one being written included.
+    /// Number of segments, including the one that is being written.
     std::size_t segmentCount() const { return this->segments.size(); }
 
 private:
@@ -38,20 +38,20 @@
     {
         std::uint64_t number = 0;
         std::uint64_t bytes = 0;
-        LogIndex lastIndex = 0; ///< the highest index that any entry in it has
+        LogIndex lastIndex = 0; ///< highest index of any entry in the segment
     };
-    struct Found;
+    struct RecoveryScan;
 
-    Result<Found> readFolder();
-    Result<void> readSnapshotFile(Found &found);
-    Result<void> readSegment(Found &found, std::uint64_t number, bool isNewest);
+    Result<RecoveryScan> readFolder();
+    Result<void> readSnapshotFile(RecoveryScan &scan);
+    Result<void> readSegment(RecoveryScan &scan, std::uint64_t number, bool isNewest);
     Result<SegmentHeader> readHeader(const std::string &name, std::string_view bytes) const;
-    Result<void> replay(Found &found, const WriteBatch &batch) const;
-    Result<void> joinSnapshot(Found &found) const;
-    Result<void> tidy(const Found &found);
+    Result<void> replay(RecoveryScan &scan, const WriteBatch &batch) const;
+    Result<void> trimToSnapshot(RecoveryScan &scan) const;
+    Result<void> applyScan(const RecoveryScan &scan);
     Result<void> beginSegment();
-    Result<void> putBeside(const std::string &name, const std::string &head,
-                           const std::string &rest = {});
+    Result<void> writeFileAtomically(const std::string &name, const std::string &head,
+                                     const std::string &rest = {});
     std::uint64_t seed() const;
 
     std::unique_ptr<Disk> disk;
@@ -60,13 +60,13 @@
     HardState hardState;
     std::uint64_t nextSequence = 1;
     std::deque<Segment> segments;
-    std::mutex saveMutex; ///< one snapshot is written at a time
-    std::mutex snapshotMutex; ///< guards the two below; held shortly, since the log's thread reads
+    std::mutex saveMutex; ///< held while a snapshot is written: one at a time
+    std::mutex snapshotMutex; ///< guards the two below; held briefly, as the log's thread reads
     LogIndex snapshotIndex = 0;
-    std::uint64_t snapshotStateAt = 0; ///< where in the file the state begins
+    std::uint64_t snapshotStateOffset = 0; ///< offset of the state in the snapshot file
 };
 
-/// The journal of one group under \a dataFolder, in its folder "group-N".
+/// Creates the journal of one group, in the subfolder "group-N" of \a dataFolder.
 Result<std::unique_ptr<Journal>> openJournal(const std::string &dataFolder, JournalOptions options);
 
 } // namespace guavavalve
--- a/src/journal/journalfiles.cpp
+++ b/src/journal/journalfiles.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t numberDigits = 20;
 
-std::string numbered(std::string_view prefix, std::uint64_t number)
+std::string numberedName(std::string_view prefix, std::uint64_t number)
 {
     const std::string digits = std::to_string(number);
     return std::string(prefix) + std::string(numberDigits - digits.size(), '0') + digits;
@@ -16,22 +16,22 @@
 
 } // namespace
 
-std::string fileMark(std::string_view kind)
+std::string fileMagic(std::string_view kind)
 {
     return std::string(kind) + static_cast<char>(journalFormat);
 }
 
 std::string segmentName(std::uint64_t number)
 {
-    return numbered(segmentPrefix, number);
+    return numberedName(segmentPrefix, number);
 }
 
 std::string snapshotName(LogIndex index)
 {
-    return numbered(snapshotPrefix, index);
+    return numberedName(snapshotPrefix, index);
 }
 
-std::optional<std::uint64_t> numberIn(std::string_view name, std::string_view prefix)
+std::optional<std::uint64_t> parseFileNumber(std::string_view name, std::string_view prefix)
 {
     if (name.size() != prefix.size() + numberDigits || name.substr(0, prefix.size()) != prefix)
         return std::nullopt;
--- a/src/journal/journaloptions.h
+++ b/src/journal/journaloptions.h
@@ -9,13 +9,13 @@
 
 namespace guavavalve {
 
-/// Settings of a Journal.
+/// Options of a Journal.
 struct JournalOptions
 {
     std::string clusterId;
     GroupId group{};
-    std::size_t segmentBytes = 8U << 20U; ///< a new segment is begun beyond this
-    std::function<std::uint64_t()> random; ///< for a new replica's identity
+    std::size_t segmentBytes = 8U << 20U; ///< size from which on a new segment is started
+    std::function<std::uint64_t()> random; ///< generates a new replica's identity
 };
 
 } // namespace guavavalve
--- a/src/journal/journalrecovery.cpp
+++ b/src/journal/journalrecovery.cpp
@@ -11,33 +11,33 @@
 #include <set>
 #include <utility>
 
-// Reading back. Everything is read and checked first; only then is anything changed, so that a
-// folder that is refused is left as it was found.
+// Recovery. Everything is read and checked before anything is changed, so that a folder that is
+// refused is left as it was found.
 
 namespace guavavalve {
 
 using namespace internal;
 
-/// What recover() has read so far.
-struct Journal::Found
+/// What recovery has read from the folder so far.
+struct Journal::RecoveryScan
 {
     RecoveredState state;
     ReplicaIdentity identity;
     std::deque<Segment> segments;
     std::set<std::uint64_t> segmentNumbers;
     std::set<LogIndex> snapshots;
-    std::vector<std::string> leftovers; ///< files that were never finished, older snapshots
+    std::vector<std::string> obsoleteFiles; ///< unfinished files and superseded snapshots
     std::uint64_t nextSequence = 1;
-    std::uint64_t tornAt = 0; ///< where the newest segment ends
-    std::uint64_t snapshotStateAt = 0;
-    LogIndex base = 0; ///< entries follow this index
+    std::uint64_t tornTailOffset = 0; ///< end of the valid frames; zero: no torn tail
+    std::uint64_t snapshotStateOffset = 0;
+    LogIndex base = 0; ///< index before that of the first entry in `state`
     bool hasBase = false;
-    bool dropsEntries = false;
+    bool needsLogReset = false;
 };
 
 namespace {
 
-Error foreign(const std::string &name, const std::string &why)
+Error foreignFileError(const std::string &name, const std::string &why)
 {
     return failure(ErrorCode::Conflict,
                    "the file " + name + " " + why
@@ -45,7 +45,7 @@
                          "folder of this cluster and group");
 }
 
-Error damaged(const std::string &name, const std::string &why)
+Error damagedFileError(const std::string &name, const std::string &why)
 {
     return failure(ErrorCode::Corrupt,
                    "the file " + name + " is damaged: " + why
@@ -68,77 +68,77 @@
     auto read = this->readFolder();
     if (!read)
         return read.error();
-    Found found = std::move(read).value();
-    if (auto tidied = this->tidy(found); !tidied)
-        return tidied.error();
-    found.state.replica = this->identity.replica;
-    return std::move(found.state);
+    RecoveryScan scan = std::move(read).value();
+    if (auto applied = this->applyScan(scan); !applied)
+        return applied.error();
+    scan.state.replica = this->identity.replica;
+    return std::move(scan.state);
 }
 
-Result<Journal::Found> Journal::readFolder()
+Result<Journal::RecoveryScan> Journal::readFolder()
 {
-    Found found;
+    RecoveryScan scan;
     auto names = this->disk->list();
     if (!names)
         return names.error();
     for (const std::string &name : names.value()) {
         if (name == lockName)
             continue;
-        if (hasSuffix(name, besideSuffix)
+        if (hasSuffix(name, temporarySuffix)
             && (name.rfind(segmentPrefix, 0) == 0 || name.rfind(snapshotPrefix, 0) == 0)) {
-            found.leftovers.push_back(name);
-        } else if (const auto segment = numberIn(name, segmentPrefix)) {
-            found.segmentNumbers.insert(*segment);
-        } else if (const auto snapshot = numberIn(name, snapshotPrefix)) {
-            found.snapshots.insert(*snapshot);
+            scan.obsoleteFiles.push_back(name);
+        } else if (const auto segment = parseFileNumber(name, segmentPrefix)) {
+            scan.segmentNumbers.insert(*segment);
+        } else if (const auto snapshot = parseFileNumber(name, snapshotPrefix)) {
+            scan.snapshots.insert(*snapshot);
         } else {
-            return foreign(name, "is not one of this program's");
+            return foreignFileError(name, "is not a file of this program");
         }
     }
-    if (found.segmentNumbers.empty() && !found.snapshots.empty())
-        return damaged(snapshotName(*found.snapshots.begin()), "its segments are missing");
-    for (const std::uint64_t number : found.segmentNumbers) {
-        const bool isNewest = number == *found.segmentNumbers.rbegin();
-        if (auto read = this->readSegment(found, number, isNewest); !read)
+    if (scan.segmentNumbers.empty() && !scan.snapshots.empty())
+        return damagedFileError(snapshotName(*scan.snapshots.begin()), "its segments are missing");
+    for (const std::uint64_t number : scan.segmentNumbers) {
+        const bool isNewest = number == *scan.segmentNumbers.rbegin();
+        if (auto read = this->readSegment(scan, number, isNewest); !read)
             return read.error();
     }
-    if (!found.snapshots.empty()) {
-        if (auto read = this->readSnapshotFile(found); !read)
+    if (!scan.snapshots.empty()) {
+        if (auto read = this->readSnapshotFile(scan); !read)
             return read.error();
     }
-    if (auto joined = this->joinSnapshot(found); !joined)
-        return joined.error();
-    return found;
+    if (auto trimmed = this->trimToSnapshot(scan); !trimmed)
+        return trimmed.error();
+    return scan;
 }
 
 Result<SegmentHeader> Journal::readHeader(const std::string &name, std::string_view bytes) const
 {
-    if (bytes.substr(0, segmentMark.size()) != segmentMark)
-        return foreign(name, "was not written by this program");
-    if (bytes.substr(0, fileMarkBytes) != fileMark(segmentMark))
-        return foreign(name, "has a format that this version does not know");
-    // The seed is the replica's identity, which the header itself tells.
-    const std::string_view rest = bytes.substr(fileMarkBytes);
+    if (bytes.substr(0, segmentMagic.size()) != segmentMagic)
+        return foreignFileError(name, "was not written by this program");
+    if (bytes.substr(0, fileMagicBytes) != fileMagic(segmentMagic))
+        return foreignFileError(name, "has a format that this version does not support");
+    // The seed is the replica's identity, which is part of the header itself.
+    const std::string_view rest = bytes.substr(fileMagicBytes);
     if (rest.size() < Frame::headerBytes)
-        return damaged(name, "its header is cut off");
+        return damagedFileError(name, "its header is truncated");
     std::uint32_t length = 0;
     std::copy_n(rest.data() + sizeof(length), sizeof(length), reinterpret_cast<char *>(&length));
     if (length > rest.size() - Frame::headerBytes)
-        return damaged(name, "its header is cut off");
+        return damagedFileError(name, "its header is truncated");
     auto header = decode<SegmentHeader>(rest.substr(Frame::headerBytes, length));
     if (!header || !decodeFrame(rest, idValue(header.value().identity.replica)))
-        return damaged(name, "its header's checksum is wrong");
+        return damagedFileError(name, "its header's checksum does not match");
     const ReplicaIdentity &owner = header.value().identity;
     if (header.value().format != journalFormat)
-        return foreign(name, "has a format that this version does not know");
+        return foreignFileError(name, "has a format that this version does not support");
     if (owner.clusterId != this->options.clusterId)
-        return foreign(name, "belongs to the cluster \"" + owner.clusterId + "\"");
+        return foreignFileError(name, "belongs to the cluster \"" + owner.clusterId + "\"");
     if (owner.group != this->options.group)
-        return foreign(name, "belongs to group " + std::to_string(idValue(owner.group)));
+        return foreignFileError(name, "belongs to group " + std::to_string(idValue(owner.group)));
     return header;
 }
 
-Result<void> Journal::readSegment(Found &found, std::uint64_t number, bool isNewest)
+Result<void> Journal::readSegment(RecoveryScan &scan, std::uint64_t number, bool isNewest)
 {
     const std::string name = segmentName(number);
     auto content = this->disk->read(name);
@@ -148,145 +148,146 @@
     auto header = this->readHeader(name, bytes);
     if (!header)
         return header.error();
-    const bool isFirst = found.segments.empty();
+    const bool isFirst = scan.segments.empty();
     if (isFirst)
-        found.identity = header.value().identity;
-    if (header.value().identity.replica != found.identity.replica)
-        return foreign(name, "belongs to another replica than the segments before it");
-    const std::uint64_t expected = isFirst ? header.value().firstSequence : found.nextSequence;
-    const bool follows = isFirst || number == found.segments.back().number + 1;
+        scan.identity = header.value().identity;
+    if (header.value().identity.replica != scan.identity.replica)
+        return foreignFileError(name, "belongs to a different replica than the segments before it");
+    const std::uint64_t expected = isFirst ? header.value().firstSequence : scan.nextSequence;
+    const bool follows = isFirst || number == scan.segments.back().number + 1;
     if (header.value().number != number || header.value().firstSequence != expected || !follows)
-        return damaged(name, "segments before it are missing");
-    found.nextSequence = expected;
-    found.state.hardState = header.value().hardState;
+        return damagedFileError(name, "segments before it are missing");
+    scan.nextSequence = expected;
+    scan.state.hardState = header.value().hardState;
 
-    const std::uint64_t replicaSeed = idValue(found.identity.replica);
-    std::size_t offset = fileMarkBytes;
+    const std::uint64_t replicaSeed = idValue(scan.identity.replica);
+    std::size_t offset = fileMagicBytes;
     offset += decodeFrame(bytes.substr(offset), replicaSeed)->bytes();
     Segment segment{number, 0, 0};
     while (offset < bytes.size()) {
         const auto frame = decodeFrame(bytes.substr(offset), replicaSeed);
-        if (!frame || frame->sequence != found.nextSequence) {
-            // A batch is written only after the one before it was synced. So if a later one is
-            // there, this one was acknowledged and has been damaged since; cutting it off would
-            // lose what others rely on. Only the very last batch can be torn by a crash.
+        if (!frame || frame->sequence != scan.nextSequence) {
+            // A batch is written only after the one before it was synced. So if there is a later
+            // one, this one was acknowledged and has been damaged since, and truncating the segment
+            // would lose data that others rely on. Only the last batch can be torn by a crash.
             const auto rest = bytes.substr(offset);
-            if (!isNewest || holdsLaterFrame(rest, found.nextSequence, replicaSeed))
-                return damaged(name, "at byte " + std::to_string(offset));
+            if (!isNewest || holdsLaterFrame(rest, scan.nextSequence, replicaSeed))
+                return damagedFileError(name, "at byte " + std::to_string(offset));
             break;
         }
         auto batch = decode<WriteBatch>(frame->payload);
         if (!batch)
-            return damaged(name, "at byte " + std::to_string(offset));
-        if (auto replayed = this->replay(found, batch.value()); !replayed)
-            return damaged(name, replayed.error().message);
+            return damagedFileError(name, "at byte " + std::to_string(offset));
+        if (auto replayed = this->replay(scan, batch.value()); !replayed)
+            return damagedFileError(name, replayed.error().message);
         for (const LogEntry &entry : batch.value().entries)
             segment.lastIndex = std::max(segment.lastIndex, entry.index);
-        ++found.nextSequence;
+        ++scan.nextSequence;
         offset += frame->bytes();
     }
-    found.tornAt = offset < bytes.size() ? offset : 0;
+    scan.tornTailOffset = offset < bytes.size() ? offset : 0;
     segment.bytes = offset;
-    found.segments.push_back(segment);
+    scan.segments.push_back(segment);
     return boost::outcome_v2::success();
 }
 
-Result<void> Journal::replay(Found &found, const WriteBatch &batch) const
+Result<void> Journal::replay(RecoveryScan &scan, const WriteBatch &batch) const
 {
-    auto &entries = found.state.entries;
+    auto &entries = scan.state.entries;
     if (batch.hardState)
-        found.state.hardState = *batch.hardState;
+        scan.state.hardState = *batch.hardState;
     if (batch.resetTo) {
         entries.clear();
-        found.base = *batch.resetTo;
-        found.hasBase = true;
+        scan.base = *batch.resetTo;
+        scan.hasBase = true;
     }
     for (const LogEntry &entry : batch.entries) {
-        if (!found.hasBase && entry.index > 0) {
-            found.base = entry.index - 1; // older segments were released
-            found.hasBase = true;
+        if (!scan.hasBase && entry.index > 0) {
+            scan.base = entry.index - 1; // older segments were deleted
+            scan.hasBase = true;
         }
-        if (entry.index <= found.base) {
-            // Replaces entries of released segments; only below the snapshot, so never read.
+        if (entry.index <= scan.base) {
+            // Replaces entries of deleted segments; the snapshot covers them, so they are never
+            // read.
             entries.clear();
-            found.base = entry.index - 1;
+            scan.base = entry.index - 1;
         }
-        if (entry.index > found.base + entries.size() + 1)
-            return failure(ErrorCode::Corrupt, "entries are missing before an entry");
-        entries.resize(entry.index - found.base - 1);
+        if (entry.index > scan.base + entries.size() + 1)
+            return failure(ErrorCode::Corrupt, "entries are missing between two entries");
+        entries.resize(entry.index - scan.base - 1);
         entries.push_back(entry);
     }
     return boost::outcome_v2::success();
 }
 
-Result<void> Journal::readSnapshotFile(Found &found)
+Result<void> Journal::readSnapshotFile(RecoveryScan &scan)
 {
-    const LogIndex index = *found.snapshots.rbegin();
+    const LogIndex index = *scan.snapshots.rbegin();
     const std::string name = snapshotName(index);
     auto content = this->disk->read(name);
     if (!content)
         return content.error();
     const std::string_view bytes = content.value();
-    if (bytes.substr(0, fileMarkBytes) != fileMark(snapshotMark))
-        return foreign(name, "is not a snapshot in a format that this version knows");
-    const auto frame = decodeFrame(bytes.substr(fileMarkBytes), idValue(found.identity.replica));
+    if (bytes.substr(0, fileMagicBytes) != fileMagic(snapshotMagic))
+        return foreignFileError(name, "is not a snapshot in a format that this version supports");
+    const auto frame = decodeFrame(bytes.substr(fileMagicBytes), idValue(scan.identity.replica));
     auto header = decode<SnapshotHeader>(frame ? frame->payload : std::string_view());
     if (!frame || !header)
-        return damaged(name, "its header's checksum is wrong");
+        return damagedFileError(name, "its header's checksum does not match");
     const SnapshotMeta &meta = header.value().meta;
-    found.snapshotStateAt = fileMarkBytes + frame->bytes();
-    const std::string_view state = bytes.substr(found.snapshotStateAt);
+    scan.snapshotStateOffset = fileMagicBytes + frame->bytes();
+    const std::string_view state = bytes.substr(scan.snapshotStateOffset);
     if (meta.index != index || state.size() != meta.size || checksumOf(state) != meta.checksum)
-        return damaged(name, "its checksum is wrong");
-    found.state.snapshot = meta;
-    found.state.snapshotState = std::string(state);
-    for (const LogIndex older : found.snapshots) {
+        return damagedFileError(name, "its index, size or checksum does not match its header");
+    scan.state.snapshot = meta;
+    scan.state.snapshotState = std::string(state);
+    for (const LogIndex older : scan.snapshots) {
         if (older != index)
-            found.leftovers.push_back(snapshotName(older));
+            scan.obsoleteFiles.push_back(snapshotName(older));
     }
     return boost::outcome_v2::success();
 }
 
-/// Leaves only the entries that follow the snapshot.
-Result<void> Journal::joinSnapshot(Found &found) const
+/// Keeps only the entries that follow the snapshot.
+Result<void> Journal::trimToSnapshot(RecoveryScan &scan) const
 {
-    auto &entries = found.state.entries;
-    const LogIndex snapshot = found.state.snapshot ? found.state.snapshot->index : 0;
-    if (found.base > snapshot) {
-        return damaged(segmentName(*found.segmentNumbers.begin()),
-                       "the snapshot before entry " + std::to_string(found.base + 1)
-                           + " is missing");
+    auto &entries = scan.state.entries;
+    const LogIndex snapshot = scan.state.snapshot ? scan.state.snapshot->index : 0;
+    if (scan.base > snapshot) {
+        return damagedFileError(segmentName(*scan.segmentNumbers.begin()),
+                                "the snapshot before entry " + std::to_string(scan.base + 1)
+                                    + " is missing");
     }
     if (snapshot == 0)
         return boost::outcome_v2::success();
-    const LogIndex last = found.base + entries.size();
-    const bool isInside = snapshot > found.base && snapshot <= last;
-    const bool agrees =
-        isInside && entries[snapshot - found.base - 1].term == found.state.snapshot->term;
-    if (agrees) {
+    const LogIndex last = scan.base + entries.size();
+    const bool isInside = snapshot > scan.base && snapshot <= last;
+    const bool matchesLog =
+        isInside && entries[snapshot - scan.base - 1].term == scan.state.snapshot->term;
+    if (matchesLog) {
         entries.erase(entries.begin(),
-                      entries.begin() + static_cast<std::ptrdiff_t>(snapshot - found.base));
-    } else if (snapshot != found.base) {
-        // The crash came between a leader's snapshot and the record that drops the old log.
+                      entries.begin() + static_cast<std::ptrdiff_t>(snapshot - scan.base));
+    } else if (snapshot != scan.base) {
+        // A crash came between saving a leader's snapshot and the batch that resets the log.
         entries.clear();
-        found.dropsEntries = true;
+        scan.needsLogReset = true;
     }
     return boost::outcome_v2::success();
 }
 
-/// Makes the folder what recover() says it is.
-Result<void> Journal::tidy(const Found &found)
+/// Brings the folder, and this object, into the state that recover() returns.
+Result<void> Journal::applyScan(const RecoveryScan &scan)
 {
-    for (const std::string &name : found.leftovers) {
+    for (const std::string &name : scan.obsoleteFiles) {
         if (auto removed = this->disk->remove(name); !removed)
             return removed;
     }
-    this->identity = found.identity;
-    this->hardState = found.state.hardState;
-    this->segments = found.segments;
-    this->nextSequence = found.nextSequence;
-    this->snapshotIndex = found.state.snapshot ? found.state.snapshot->index : 0;
-    this->snapshotStateAt = found.snapshotStateAt;
+    this->identity = scan.identity;
+    this->hardState = scan.state.hardState;
+    this->segments = scan.segments;
+    this->nextSequence = scan.nextSequence;
+    this->snapshotIndex = scan.state.snapshot ? scan.state.snapshot->index : 0;
+    this->snapshotStateOffset = scan.snapshotStateOffset;
     if (this->segments.empty()) {
         this->identity.clusterId = this->options.clusterId;
         this->identity.group = this->options.group;
@@ -295,14 +296,14 @@
         } while (this->identity.replica == ReplicaId::None);
         return this->beginSegment();
     }
-    if (found.tornAt != 0) {
+    if (scan.tornTailOffset != 0) {
         const std::string name = segmentName(this->segments.back().number);
-        if (auto cut = this->disk->truncate(name, found.tornAt); !cut)
+        if (auto cut = this->disk->truncate(name, scan.tornTailOffset); !cut)
             return cut;
         if (auto synced = this->disk->sync(name); !synced)
             return synced;
     }
-    if (found.dropsEntries) {
+    if (scan.needsLogReset) {
         WriteBatch reset;
         reset.resetTo = this->snapshotIndex;
         return this->write(reset);
--- a/src/journal/logentry.h
+++ b/src/journal/logentry.h
@@ -9,11 +9,11 @@
 
 namespace guavavalve {
 
-/// What an entry of the replicated log carries.
+/// Type of an entry of the replicated log.
 enum class EntryKind : std::uint8_t {
-    NoOp, ///< a new leader's first entry of its term
-    Command, ///< for the state machine
-    Members, ///< the whole list of members, encoded
+    NoOp, ///< the first entry of a new leader's term
+    Command, ///< a command for the state machine
+    Members, ///< the complete member list, encoded
 };
 
 /// One entry of the replicated log.
--- a/src/journal/posixdisk.cpp
+++ b/src/journal/posixdisk.cpp
@@ -31,14 +31,14 @@
     int file;
 };
 
-/// Errors that say that the disk has no room, and so has taken nothing.
-bool isNoRoom(int systemCode)
+/// Errors that mean that the disk is out of space and has written nothing.
+bool isOutOfSpace(int systemCode)
 {
     return systemCode == ENOSPC || systemCode == EDQUOT || systemCode == EFBIG;
 }
 
-/// Errors that say that no file could be opened, for want of descriptors.
-bool isNoDescriptor(int systemCode)
+/// Errors that mean that no file descriptor was available.
+bool isOutOfDescriptors(int systemCode)
 {
     return systemCode == EMFILE || systemCode == ENFILE;
 }
@@ -63,7 +63,8 @@
     std::error_code problem;
     std::filesystem::create_directories(this->folder, problem);
     if (problem) {
-        return failure(isNoRoom(problem.value()) ? ErrorCode::WriteRefused : ErrorCode::Unavailable,
+        return failure(isOutOfSpace(problem.value()) ? ErrorCode::WriteRefused
+                                                     : ErrorCode::Unavailable,
                        "cannot create the folder " + this->folder + ": " + problem.message());
     }
     const std::string parent =
@@ -83,12 +84,12 @@
                    what + " " + this->path(name) + ": " + std::generic_category().message(errno));
 }
 
-/// Of a call that changes files, other than a sync: such a call has done nothing if there was no
-/// room for it, or no descriptor. A sync that finds no room may have lost what was written before
-/// it.
+/// The error of a call that changes files, other than a sync. Such a call has changed nothing if it
+/// failed for lack of space or of descriptors: WriteRefused. A sync that runs out of space,
+/// however, may have lost data that was written before it.
 Error PosixDisk::changeError(const std::string &what, const std::string &name) const
 {
-    const bool isRefusal = isNoRoom(errno) || isNoDescriptor(errno);
+    const bool isRefusal = isOutOfSpace(errno) || isOutOfDescriptors(errno);
     Error error = this->systemError(what, name);
     if (isRefusal)
         error.code = ErrorCode::WriteRefused;
@@ -130,11 +131,11 @@
     struct stat info = {};
     if (::stat(this->path(name).c_str(), &info) != 0)
         return this->systemError("cannot read", name);
-    return this->readPart(name, 0, static_cast<std::size_t>(info.st_size));
+    return this->readRange(name, 0, static_cast<std::size_t>(info.st_size));
 }
 
-Result<std::string> PosixDisk::readPart(const std::string &name, std::uint64_t offset,
-                                        std::size_t length)
+Result<std::string> PosixDisk::readRange(const std::string &name, std::uint64_t offset,
+                                         std::size_t length)
 {
     const int file = ::open(this->path(name).c_str(), O_RDONLY | O_CLOEXEC);
     if (file < 0)
@@ -203,9 +204,9 @@
     this->appending.erase(found);
 }
 
-/// Guards against a record that follows the first half of another: a full disk may take a part of
-/// a write before it refuses. The file is cut back to where it was, if need be before the next try,
-/// so nothing ever stands behind a torn record.
+/// A full disk may accept part of a write before it refuses the rest. The file is then truncated to
+/// its previous size (before the next append if that fails, too), so that no record ever follows a
+/// torn one.
 Result<void> PosixDisk::append(const std::string &name, const std::string &bytes)
 {
     const auto opened = this->openForAppend(name);
@@ -213,12 +214,12 @@
         return opened.error();
     AppendFile &to = *opened.value();
     const auto size = static_cast<off_t>(to.size);
-    if (to.isTorn && ::ftruncate(to.file, size) != 0)
-        return this->changeError("cannot cut back", name);
-    to.isTorn = false;
+    if (to.hasTornTail && ::ftruncate(to.file, size) != 0)
+        return this->changeError("cannot truncate", name);
+    to.hasTornTail = false;
     if (!this->writeAll(to.file, bytes)) {
         const Error error = this->changeError("cannot write", name);
-        to.isTorn = ::ftruncate(to.file, size) != 0;
+        to.hasTornTail = ::ftruncate(to.file, size) != 0;
         return error;
     }
     to.size += bytes.size();
--- a/src/journal/posixdisk.h
+++ b/src/journal/posixdisk.h
@@ -12,12 +12,11 @@
 
 namespace guavavalve {
 
-/// A folder of the file system, created if it is not there. Safe for use from several threads
-/// on different files.
+/// A folder of the file system. Several threads may use different files of it concurrently.
 class PosixDisk : public Disk
 {
 public:
-    /// write(2), or what a test puts in its place.
+    /// write(2), or a replacement in tests.
     using WriteCall = std::function<ssize_t(int file, const char *bytes, std::size_t count)>;
 
     explicit PosixDisk(std::string folder, WriteCall writeCall = {});
@@ -25,14 +24,14 @@
     PosixDisk(const PosixDisk &) = delete;
     PosixDisk &operator=(const PosixDisk &) = delete;
 
-    /// Creates the folder and its parents, and syncs their names.
+    /// Creates the folder and its parents if they do not exist, and syncs the folder's name.
     Result<void> createFolder();
 
     Result<void> lock(const std::string &name) override;
     Result<std::vector<std::string>> list() override;
     Result<std::string> read(const std::string &name) override;
-    Result<std::string> readPart(const std::string &name, std::uint64_t offset,
-                                 std::size_t length) override;
+    Result<std::string> readRange(const std::string &name, std::uint64_t offset,
+                                  std::size_t length) override;
     Result<void> append(const std::string &name, const std::string &bytes) override;
     Result<void> truncate(const std::string &name, std::uint64_t size) override;
     Result<void> sync(const std::string &name) override;
@@ -45,8 +44,8 @@
     struct AppendFile
     {
         int file = -1;
-        std::uint64_t size = 0; ///< up to the end of the last append that was taken whole
-        bool isTorn = false; ///< a part of a refused append is still behind that
+        std::uint64_t size = 0; ///< end of the last append that succeeded
+        bool hasTornTail = false; ///< part of a failed append still follows `size`
     };
 
     Error systemError(const std::string &what, const std::string &name) const;
--- a/src/journal/recoveredstate.h
+++ b/src/journal/recoveredstate.h
@@ -11,14 +11,14 @@
 
 namespace guavavalve {
 
-/// What a replica finds when it starts.
+/// State that a replica recovers from its storage when it starts.
 struct RecoveredState
 {
     ReplicaId replica = ReplicaId::None;
     HardState hardState;
     std::optional<SnapshotMeta> snapshot;
-    std::string snapshotState; ///< the newest snapshot's bytes
-    std::vector<LogEntry> entries; ///< those after the snapshot
+    std::string snapshotState; ///< the state's bytes in the newest snapshot
+    std::vector<LogEntry> entries; ///< the log entries after the snapshot
 };
 
 } // namespace guavavalve
--- a/src/journal/replicaidentity.h
+++ b/src/journal/replicaidentity.h
@@ -8,11 +8,12 @@
 /// One replica group (one Raft log) of the cluster.
 enum class GroupId : std::uint32_t {};
 
-/// The random identity of one data folder. A lost folder takes it along: what comes back at the
-/// same address is another replica, and can neither vote nor acknowledge under the old identity.
+/// The random identity of a data folder. It is lost with the folder: an instance that returns at
+/// the same address with an empty folder is a different replica, and can neither vote nor
+/// acknowledge under the old identity.
 enum class ReplicaId : std::uint64_t { None = 0 };
 
-/// Whose files a folder holds.
+/// Identifies the replica to which the files of a folder belong.
 struct ReplicaIdentity
 {
     std::string clusterId;
--- a/src/journal/segmentheader.h
+++ b/src/journal/segmentheader.h
@@ -9,14 +9,14 @@
 
 namespace guavavalve {
 
-/// The first frame of a segment: whose it is and where it continues.
+/// The first frame of a segment: which replica it belongs to, and where it continues the journal.
 struct SegmentHeader
 {
     std::uint32_t format = 0;
     ReplicaIdentity identity;
     std::uint64_t number = 0;
-    std::uint64_t firstSequence = 0; ///< of the first batch in it
-    HardState hardState; ///< so that older segments can be released
+    std::uint64_t firstSequence = 0; ///< sequence of the segment's first batch
+    HardState hardState; ///< repeated here so that older segments can be deleted
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/journal/snapshotheader.h
+++ b/src/journal/snapshotheader.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve {
 
-/// The first frame of a snapshot file; the state's bytes follow it.
+/// The first frame of a snapshot file; it is followed by the state's bytes.
 struct SnapshotHeader
 {
     std::uint32_t format = 0;
--- a/src/journal/snapshotmeta.h
+++ b/src/journal/snapshotmeta.h
@@ -24,7 +24,7 @@
         archive(this->index, this->term, this->members, this->size, this->checksum);
     }
 
-    /// True if both describe the same bytes, so that a broken-off transfer may go on.
+    /// True if both describe the same bytes, so that an interrupted transfer can be resumed.
     bool sameBytes(const SnapshotMeta &other) const
     {
         return this->index == other.index && this->term == other.term && this->size == other.size
--- a/src/journal/storage.h
+++ b/src/journal/storage.h
@@ -11,31 +11,31 @@
 
 namespace guavavalve {
 
-/// Where a replica keeps what must survive. The journal is the real one; tests have a fake disk.
+/// Durable storage of a replica. The implementation is Journal; tests run it on a fake disk.
 class Storage
 {
 public:
     virtual ~Storage() = default;
 
-    /// Reads everything back. Called once, before anything else.
-    /// \errors Corrupt for damage that is not a torn tail, Conflict for files of another cluster,
-    /// group or format. Nothing has been changed on an error.
+    /// Reads the stored state. Must be called once, before any other function.
+    /// \errors Corrupt for damage other than a torn tail, Conflict for files of another cluster,
+    /// group or format. Neither changes any stored data.
     virtual Result<RecoveredState> recover() = 0;
 
     /// Makes \a batch durable with one sync.
-    /// \errors WriteRefused: nothing of the batch counts, and the same call may be tried again, as
-    /// for the calls below. After any other error the process must not go on: what is on the disk
-    /// is unknown.
+    /// \errors WriteRefused: nothing of the batch takes effect, and the same call may be retried.
+    /// This also holds for the functions below. After any other error the process must not
+    /// continue, since it is unknown what is on the disk.
     virtual Result<void> write(const WriteBatch &batch) = 0;
 
-    /// Writes a snapshot beside the log and makes it durable; may run beside write().
+    /// Writes a snapshot to its own file and makes it durable; may run concurrently with write().
     virtual Result<void> saveSnapshot(const SnapshotMeta &meta, const std::string &state) = 0;
 
-    /// Reads \a length bytes of the newest snapshot, which must be the one of \a index.
+    /// Reads \a length bytes of the newest snapshot's state; its index must be \a index.
     virtual Result<std::string> readSnapshot(LogIndex index, std::uint64_t offset,
                                              std::size_t length) = 0;
 
-    /// Removes log files that hold nothing after \a through.
+    /// Removes log files that contain no entry after \a through.
     virtual Result<void> release(LogIndex through) = 0;
 };
 
--- a/src/journal/writabledisk.cpp
+++ b/src/journal/writabledisk.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char *probeName = "writable";
-/// As much as the first writes of a start: vote, term and a record.
+/// At least as much as the first writes after a start: the vote, the term and a record.
 constexpr std::size_t probeBytes = 8192;
 
 Result<void> tryWrite(Disk &disk)
--- a/src/journal/writabledisk.h
+++ b/src/journal/writabledisk.h
@@ -8,13 +8,13 @@
 
 class Disk;
 
-/// Returns once the folder takes a few kilobytes and syncs them. Asks \a pause between two tries,
-/// which returns false to give up.
+/// Returns once a few kilobytes can be written to the folder and synced. Calls \a pause after each
+/// failed attempt; \a pause returns false to give up.
 ///
-/// Guards against a process that ends and starts in a loop while its disk is full or refuses
-/// writes: it stops at its first write, is started again by its supervisor, and so on, seven times
-/// in five seconds, with a place in the group that it cannot fill.
-/// \errors the disk's last, if it was given up.
+/// Guards against a restart loop while the disk is full or refuses writes: a process that exits at
+/// its first failed write is restarted by its supervisor and exits again, seven times in five
+/// seconds, while it occupies a place in the group without serving it.
+/// \errors that of the last attempt, if \a pause gave up.
 Result<void> waitUntilWritable(Disk &disk, const std::function<bool(const Error &)> &pause);
 
 } // namespace guavavalve
--- a/src/journal/writebatch.h
+++ b/src/journal/writebatch.h
@@ -12,13 +12,14 @@
 
 namespace guavavalve {
 
-/// Everything that one sync makes durable together.
+/// Changes that one sync makes durable together.
 struct WriteBatch
 {
     std::optional<HardState> hardState;
-    /// Set after a snapshot from the leader: all entries go, the next has this index plus one.
+    /// Set after a snapshot from the leader: all entries are dropped, and the next one has this
+    /// index plus one.
     std::optional<LogIndex> resetTo;
-    /// An entry replaces the one of the same index and everything after it.
+    /// Each entry replaces the stored one of the same index and everything after that.
     std::vector<LogEntry> entries;
 
     bool isEmpty() const { return !this->hardState && !this->resetTo && this->entries.empty(); }
--- a/test/journal/fakedisk.h
+++ b/test/journal/fakedisk.h
@@ -12,28 +12,28 @@
 
 namespace guavavalve {
 
-/// What a FakeDisk's folder holds; outlives the processes that use it.
+/// The contents of a FakeDisk's folder; outlives the simulated processes that use it.
 struct FakeFolder
 {
     struct File
     {
         std::string bytes;
-        std::size_t synced = 0; ///< how many of the bytes survive a crash for sure
+        std::size_t synced = 0; ///< number of bytes that are certain to survive a crash
     };
     using Names = std::map<std::string, std::shared_ptr<File>>;
 
     Names current;
     Names durable; ///< names as of the last sync of the folder
-    std::vector<std::function<void(Names &)>> unsynced; ///< changes of names since
-    /// Steps that still succeed; then each one fails, as in a process that has been killed.
-    std::int64_t stepsLeft = -1; ///< negative: no end
-    std::size_t steps = 0; ///< taken so far
-    bool isFull = false; ///< appends are refused
+    std::vector<std::function<void(Names &)>> unsynced; ///< changes of names since then
+    /// Steps until the simulated process is killed: the last of them and all later ones fail.
+    std::int64_t stepsLeft = -1; ///< negative: never killed
+    std::size_t steps = 0; ///< number of steps taken so far
+    bool isFull = false; ///< appends fail with WriteRefused
 
     bool hasCrashed() const { return this->stepsLeft == 0; }
 
-    /// Loses what was not synced: any number of the last changes of names, and any part of the
-    /// last bytes of each file, the part that stays perhaps damaged.
+    /// Discards what was not synced: a random number of the latest changes of names, and a random
+    /// part of each file's last bytes; the part that is kept may be damaged.
     void crash(std::mt19937_64 &random)
     {
         const std::size_t kept = random() % (this->unsynced.size() + 1);
@@ -42,17 +42,17 @@
         this->unsynced.clear();
         this->current = this->durable;
         for (auto &[name, file] : this->current) {
-            const std::size_t loose = file->bytes.size() - file->synced;
-            const std::size_t stays = loose == 0 ? 0 : random() % (loose + 1);
-            file->bytes.resize(file->synced + stays);
-            if (stays > 0 && random() % 2 == 0)
-                file->bytes[file->synced + random() % stays] ^= 0x20;
+            const std::size_t unsyncedBytes = file->bytes.size() - file->synced;
+            const std::size_t keptBytes = unsyncedBytes == 0 ? 0 : random() % (unsyncedBytes + 1);
+            file->bytes.resize(file->synced + keptBytes);
+            if (keptBytes > 0 && random() % 2 == 0)
+                file->bytes[file->synced + random() % keptBytes] ^= 0x20;
             file->synced = file->bytes.size();
         }
         this->stepsLeft = -1;
     }
 
-    /// Every file's bytes, to see whether anything was touched.
+    /// The bytes of every file, to check whether anything was changed.
     std::map<std::string, std::string> contents() const
     {
         std::map<std::string, std::string> result;
@@ -62,7 +62,7 @@
     }
 };
 
-/// A Disk in memory that can be stopped after any step.
+/// A Disk in memory, on which the simulated process can be killed at any step.
 class FakeDisk : public Disk
 {
 public:
@@ -83,8 +83,8 @@
     {
         return this->folder->current.at(name)->bytes;
     }
-    Result<std::string> readPart(const std::string &name, std::uint64_t offset,
-                                 std::size_t length) override
+    Result<std::string> readRange(const std::string &name, std::uint64_t offset,
+                                  std::size_t length) override
     {
         return this->folder->current.at(name)->bytes.substr(offset, length);
     }
@@ -93,11 +93,11 @@
         if (this->folder->isFull)
             return failure(ErrorCode::WriteRefused, "the disk is full");
         if (!this->step()) {
-            // Killed in the middle of the write: a part of it is there, unsynced.
+            // Killed in the middle of the write: half of it is in the file, unsynced.
             const auto found = this->folder->current.find(name);
             if (found != this->folder->current.end())
                 found->second->bytes += bytes.substr(0, bytes.size() / 2);
-            return dead();
+            return killedError();
         }
         auto &file = this->folder->current[name];
         if (!file) {
@@ -110,7 +110,7 @@
     Result<void> truncate(const std::string &name, std::uint64_t size) override
     {
         if (!this->step())
-            return dead();
+            return killedError();
         auto &file = *this->folder->current.at(name);
         file.bytes.resize(size);
         file.synced = std::min(file.synced, file.bytes.size());
@@ -119,7 +119,7 @@
     Result<void> sync(const std::string &name) override
     {
         if (!this->step())
-            return dead();
+            return killedError();
         auto &file = *this->folder->current.at(name);
         file.synced = file.bytes.size();
         return boost::outcome_v2::success();
@@ -127,7 +127,7 @@
     Result<void> rename(const std::string &from, const std::string &to) override
     {
         if (!this->step())
-            return dead();
+            return killedError();
         this->changeNames([from, to](FakeFolder::Names &names) {
             const auto found = names.find(from);
             if (found == names.end())
@@ -142,14 +142,14 @@
         if (this->folder->current.count(name) == 0)
             return boost::outcome_v2::success();
         if (!this->step())
-            return dead();
+            return killedError();
         this->changeNames([name](FakeFolder::Names &names) { names.erase(name); });
         return boost::outcome_v2::success();
     }
     Result<void> syncFolder() override
     {
         if (!this->step())
-            return dead();
+            return killedError();
         this->folder->durable = this->folder->current;
         this->folder->unsynced.clear();
         return boost::outcome_v2::success();
@@ -165,7 +165,7 @@
         ++this->folder->steps;
         return this->folder->stepsLeft != 0;
     }
-    static Error dead() { return failure(ErrorCode::Unavailable, "the process was killed"); }
+    static Error killedError() { return failure(ErrorCode::Unavailable, "the process was killed"); }
     void changeNames(std::function<void(FakeFolder::Names &)> change)
     {
         change(this->folder->current);
--- a/test/journal/fulldisktest.cpp
+++ b/test/journal/fulldisktest.cpp
@@ -11,9 +11,9 @@
 
 using namespace guavavalve;
 
-// The disk of a replica is full for five seconds. Its process ended at the first write, and what it
-// did for the group with it. Nothing has been lost by a refusal: the write is tried again.
-TEST_CASE("a journal goes on where a full disk has refused it", "[journal]")
+// Guards against a replica that exits at the first write to a disk that is full for five seconds,
+// and so is missing from its group. A refused write has lost nothing and can be retried.
+TEST_CASE("a journal continues after a write that a full disk refused is retried", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
     {
@@ -44,9 +44,9 @@
     CHECK(state.entries.back().index == 30);
 }
 
-// A replica is killed between a refusal and the next try. A vote that was refused was never given:
-// it must not be found in a later segment's header.
-TEST_CASE("a batch that a full disk has refused is not found after a restart", "[journal]")
+// A replica is killed after a write was refused and before it is retried. A vote whose write was
+// refused was never cast: it must not appear in a later segment's header.
+TEST_CASE("a batch that a full disk refused is not recovered after a restart", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
     {
@@ -65,9 +65,9 @@
     CHECK(state.entries.size() == 2);
 }
 
-// A start on a full disk, or one that fills up while the folder is tidied, is told apart from
-// damage: the process waits and does not end.
-TEST_CASE("a journal that cannot be opened on a full disk says so and can be opened later",
+// A disk that is full at startup, or that fills up while recovery writes to the folder, must not be
+// reported as damage: the process then waits instead of exiting.
+TEST_CASE("opening a journal on a full disk is refused and succeeds once there is space",
           "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
@@ -79,9 +79,9 @@
     CHECK(journalOn(folder)->recover());
 }
 
-// A full disk takes the first half of a record and refuses the rest. Were the next record written
-// behind that half, everything after it would be cut off at the next start as a torn tail.
-TEST_CASE("half a record that a full disk took is cut off again", "[disk]")
+// A full disk accepts the first part of a record and refuses the rest. If the next record were
+// written after that part, the next start would discard both, and all that follows, as a torn tail.
+TEST_CASE("a record that a full disk accepted only in part is truncated again", "[disk]")
 {
     const TemporaryFolder scratch;
     std::size_t room = 10;
@@ -105,7 +105,7 @@
     CHECK(disk.read("log").value() == "first second");
 }
 
-TEST_CASE("an error other than a full disk is no refusal", "[disk]")
+TEST_CASE("a write error other than a full disk is not reported as a refusal", "[disk]")
 {
     const TemporaryFolder scratch;
     PosixDisk disk(scratch.path(), [](int, const char *, std::size_t) -> ssize_t {
--- a/test/journal/journaltest.cpp
+++ b/test/journal/journaltest.cpp
@@ -8,7 +8,8 @@
 
 using namespace guavavalve;
 
-TEST_CASE("a journal gives back what was written and a snapshot releases old segments", "[journal]")
+TEST_CASE("a journal recovers what was written and drops segments that a snapshot covers",
+          "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
     auto journal = journalOn(folder);
@@ -33,7 +34,7 @@
     CHECK(state.entries.front().index == 41);
 }
 
-TEST_CASE("an entry of a later term replaces what followed in the journal", "[journal]")
+TEST_CASE("an entry of a later term replaces the entries from its index on", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
     auto journal = journalOn(folder);
@@ -46,9 +47,9 @@
     CHECK(entries.back().term == 2);
 }
 
-// A replica is killed at any moment, also in the middle of a write or of a snapshot. When it is
-// back, everything that it had acknowledged must be there, and nothing but whole batches.
-TEST_CASE("a crash at every step of a write loses nothing acknowledged", "[journal]")
+// A replica may be killed at any moment, even in the middle of a write or of a snapshot. After the
+// restart everything that it had acknowledged must be there, and nothing but complete batches.
+TEST_CASE("a crash at any step loses no acknowledged write", "[journal]")
 {
     std::size_t crashes = 0;
     for (std::int64_t steps = 1; steps < 200; ++steps) {
@@ -89,8 +90,8 @@
 }
 
 // The power fails while the last batch is being written: any part of it may be on the disk. It
-// was never acknowledged, so it is cut off and the replica goes on.
-TEST_CASE("a tail torn at any byte is cut off", "[journal]")
+// was never acknowledged, so it is truncated and the replica continues.
+TEST_CASE("a tail torn at any byte is truncated", "[journal]")
 {
     auto whole = std::make_shared<FakeFolder>();
     auto journal = journalOn(whole, 1 << 20);
@@ -115,8 +116,8 @@
 }
 
 // A disk returns a wrong byte somewhere in the log, long after it was written and acknowledged.
-// Cutting the log there would lose commands that others rely on: the replica must stop with a
-// clear message, and leave the files for whoever looks into it.
+// Truncating the log there would lose commands that others rely on: recovery must fail with a clear
+// message, and leave the files untouched for the investigation.
 TEST_CASE("damage before the last batch is an error and changes nothing", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
@@ -161,8 +162,8 @@
     CHECK(folder->contents() == before);
 }
 
-// An operator gives an instance a folder that an older cluster has left behind. Reading it as
-// ours would bring back a configuration from another time; it is refused and left as it was.
+// An operator gives an instance a folder that belongs to an older cluster. Accepting it would
+// restore an outdated configuration, so it is refused and left untouched.
 TEST_CASE("files of another cluster or format are refused and left untouched", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
@@ -201,9 +202,9 @@
     std::filesystem::remove_all(folder);
 }
 
-// Whatever bytes a disk gives back, reading them ends with a state or an error, never with a
-// crash, and an error changes nothing.
-TEST_CASE("the journal reader survives any bytes", "[journal][fuzz]")
+// Whatever bytes the disk returns, recovery ends with a state or an error, never with a crash, and
+// an error changes nothing.
+TEST_CASE("recovery from arbitrarily damaged files does not crash", "[journal][fuzz]")
 {
     const std::uint64_t seed = 20261202;
     INFO("seed " << seed);
--- a/test/journal/writabledisktest.cpp
+++ b/test/journal/writabledisktest.cpp
@@ -5,10 +5,10 @@
 
 using namespace guavavalve;
 
-TEST_CASE("a start waits until the disk takes writes again", "[disk]")
+TEST_CASE("startup waits until the disk accepts writes again", "[disk]")
 {
-    // The disk of a replica was full for five seconds. The process ended at its first write, was
-    // started, and ended again, seven times.
+    // Guards against a restart loop: while the disk of a replica was full for five seconds, the
+    // process exited at its first write and was restarted, seven times.
     auto folder = std::make_shared<FakeFolder>();
     FakeDisk disk(folder);
     folder->stepsLeft = 0; // each write fails
@@ -23,7 +23,7 @@
     CHECK(folder->current.empty());
 }
 
-TEST_CASE("waiting for the disk can be given up", "[disk]")
+TEST_CASE("waiting for the disk can be aborted", "[disk]")
 {
     auto folder = std::make_shared<FakeFolder>();
     FakeDisk disk(folder);
