--- a/src/schema/fieldcheck.cpp
+++ b/src/schema/fieldcheck.cpp
@@ -24,13 +24,13 @@
 
 bool isPort(const std::string &text)
 {
-    constexpr int largestPort = 65535;
-    constexpr std::size_t mostDigits = 5;
-    if (text.empty() || text.size() > mostDigits)
+    constexpr int maxPort = 65535;
+    constexpr std::size_t maxDigits = 5;
+    if (text.empty() || text.size() > maxDigits)
         return false;
     if (!std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; }))
         return false;
-    return std::stoi(text) <= largestPort;
+    return std::stoi(text) <= maxPort;
 }
 
 bool inRange(std::size_t length, const FieldSpec &spec)
@@ -60,7 +60,7 @@
 {
     if (!value.is_number_integer())
         return false;
-    // A number above the signed range would wrap round to a negative one, which some fields allow.
+    // A number above the signed range would wrap to a negative one, which some fields allow.
     if (value.is_number_unsigned()
         && value.get<std::uint64_t>()
             > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
@@ -95,7 +95,7 @@
     return false;
 }
 
-/// Walks a document beside its table.
+/// Compares a document with its table, recursively.
 class FieldChecker
 {
 public:
@@ -112,7 +112,7 @@
     void checkObject(const json &object, const std::string &path)
     {
         for (const auto &[name, value] : object.items()) {
-            // A name with a dot in it would pass for a path of several.
+            // A name with a dot in it would be mistaken for a path of several names.
             const bool dotted = name.find('.') != std::string::npos;
             this->checkValue(value, joinPath(path, name), !dotted);
         }
@@ -133,7 +133,7 @@
             else
                 this->problems.push_back({path, truncatedJson(value), "an object"});
         } else {
-            this->problems.push_back({path, "an unknown name", "the names of the reference page"});
+            this->problems.push_back({path, "an unknown name", "the names on the reference page"});
         }
     }
 
@@ -188,8 +188,8 @@
 
 bool isName(const std::string &text)
 {
-    constexpr std::size_t longestName = 64;
-    if (text.empty() || text.size() > longestName || !internal::isLetterOrDigit(text.front()))
+    constexpr std::size_t maxNameLength = 64;
+    if (text.empty() || text.size() > maxNameLength || !internal::isLetterOrDigit(text.front()))
         return false;
     return std::all_of(text.begin(), text.end(), [](char c) {
         return internal::isLetterOrDigit(c) || c == '-' || c == '_' || c == '.';
--- a/src/schema/fieldspec.h
+++ b/src/schema/fieldspec.h
@@ -20,7 +20,7 @@
     {FieldType::TextList, "list of texts"},
 }};
 
-/// What a field's number counts.
+/// Unit of an integer field.
 enum class Unit : std::uint8_t { None, Ms, Bytes, Percent };
 
 inline constexpr EnumNames<Unit, 4> unitNames{{
@@ -30,36 +30,36 @@
     {Unit::Percent, "%"},
 }};
 
-/// What a text, or each of a list, must look like.
+/// Format of a text, or of each text in a list.
 enum class TextFormat : std::uint8_t {
     Any,
     Name, ///< letters, digits, '-', '_' and '.', beginning with a letter or digit
-    Endpoint, ///< "ip:port", by IP number
+    Endpoint, ///< "ip:port" with a numeric IP address
 };
 
 inline constexpr EnumNames<TextFormat, 3> textFormatNames{{
     {TextFormat::Any, "any text"},
     {TextFormat::Name, "a name of letters, digits, '-', '_' and '.'"},
-    {TextFormat::Endpoint, "an IP number and port such as 127.0.0.1:7000"},
+    {TextFormat::Endpoint, "an IP address and port such as 127.0.0.1:7000"},
 }};
 
-/// A row of a table of fields: everything that is said of a field, said once. The checks, the
-/// help text and the reference page come from it.
+/// A row of a table of fields: the complete description of a field, from which the checks, the
+/// help text and the reference page are derived.
 struct FieldSpec
 {
     std::string path; ///< names joined by dots
     FieldType type = FieldType::Text;
     Unit unit = Unit::None;
-    std::int64_t minimum = 0; ///< of an integer; of a text or list, its length
+    std::int64_t minimum = 0; ///< of the value of an integer, or of the length of a text or list
     std::int64_t maximum = 0;
     TextFormat format = TextFormat::Any;
-    std::vector<std::string> choices; ///< the only texts allowed; empty: any of the format
+    std::vector<std::string> choices; ///< the only allowed texts; empty: any text of the format
     bool required = false;
     bool operatorsOnly = false; ///< in a team's section: only an operator's key may change it
     std::string doc;
     std::string defaultText; ///< JSON text, filled in by the table
 
-    /// What is allowed, for a person to read.
+    /// Human-readable description of the allowed values.
     std::string allowed() const;
 };
 
--- a/src/schema/fieldtable.h
+++ b/src/schema/fieldtable.h
@@ -16,13 +16,13 @@
 
 namespace guavavalve {
 
-/// The typed table of the fields of \a Struct: which JSON name fills which member, and what is
-/// allowed there. A field's default is what a default-constructed Struct holds.
+/// The typed table of the fields of \a Struct: maps each JSON name to a member and its allowed
+/// values. A field's default is the member's value in a default-constructed Struct.
 template<typename Struct>
 class FieldTable
 {
 public:
-    /// Reaches a member; a pointer to member converts.
+    /// Accesses a member; a pointer to member converts to it.
     template<typename Value>
     using Member = std::function<Value &(Struct &)>;
 
@@ -32,7 +32,8 @@
         std::int64_t maximum;
     };
 
-    /// Each of these adds a row and returns it, for what few rows need (required, format).
+    /// The functions below add a row and return it, so that the caller can set rarely used
+    /// attributes (required, format).
     FieldSpec &boolean(std::string path, Member<bool> member, std::string doc)
     {
         return this->add(std::move(path), FieldType::Boolean, {0, 0}, std::move(member),
@@ -87,8 +88,8 @@
 
     const std::vector<FieldSpec> &specs() const { return this->rows; }
 
-    /// Checks \a document and, if there is nothing to say against it, fills \a into. With any
-    /// problem \a into is left as it was.
+    /// Checks \a document and, if it has no problems, fills \a into. Otherwise \a into is left
+    /// unchanged.
     std::vector<Problem> read(const nlohmann::json &document, Struct &into) const
     {
         std::vector<Problem> problems = checkFields(this->rows, document);
@@ -96,13 +97,13 @@
             return problems;
         for (std::size_t i = 0; i < this->rows.size(); ++i) {
             if (const nlohmann::json *value = findField(document, this->rows[i].path))
-                this->assigns[i](into, *value);
+                this->setters[i](into, *value);
         }
         return problems;
     }
 
 private:
-    using Assign = std::function<void(Struct &, const nlohmann::json &)>;
+    using Setter = std::function<void(Struct &, const nlohmann::json &)>;
 
     template<typename Value>
     FieldSpec &add(std::string path, FieldType type, Range range, Member<Value> member,
@@ -121,15 +122,15 @@
         });
     }
 
-    FieldSpec &append(FieldSpec spec, Assign assign)
+    FieldSpec &append(FieldSpec spec, Setter setter)
     {
         this->rows.push_back(std::move(spec));
-        this->assigns.push_back(std::move(assign));
+        this->setters.push_back(std::move(setter));
         return this->rows.back();
     }
 
     std::vector<FieldSpec> rows;
-    std::vector<Assign> assigns; ///< one a row
+    std::vector<Setter> setters; ///< one per row
 };
 
 } // namespace guavavalve
--- a/src/schema/jsondocument.cpp
+++ b/src/schema/jsondocument.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t maxShownLength = 80;
 constexpr std::size_t maxProblems = 100;
 
-/// Builds the document while it is read. The library's own builder keeps the last of two equal
-/// names without a word, so an operator who edits the first of them would see nothing happen.
+/// Builds the document during parsing. The library's own builder silently keeps the last of two
+/// equal names, so an operator's edit of the first one would have no effect.
 class DocumentBuilder : public nlohmann::json_sax<json>
 {
 public:
@@ -113,7 +113,7 @@
 
     JsonDocument &document;
     std::vector<json *>
-        stack; ///< open objects and arrays; none is added to while one is open in it
+        stack; ///< open objects and arrays; stay valid, as only the innermost one is added to
     std::vector<std::string> names;
 };
 
@@ -130,7 +130,7 @@
         return document;
     }
     internal::DocumentBuilder builder(document);
-    document.whole = nlohmann::json::sax_parse(text, &builder);
+    document.isComplete = nlohmann::json::sax_parse(text, &builder);
     if (document.problems.empty() && !document.value.is_object())
         document.problems.push_back({"", truncatedJson(document.value), "one JSON object"});
     return document;
--- a/src/schema/jsondocument.h
+++ b/src/schema/jsondocument.h
@@ -10,25 +10,25 @@
 
 namespace guavavalve {
 
-/// The deepest nesting that a document may have.
+/// Maximum nesting depth of a document.
 inline constexpr std::size_t maxJsonDepth = 16;
 
-/// A JSON document with the faults found while it was read.
+/// A JSON document with the problems that were found while it was parsed.
 struct JsonDocument
 {
     nlohmann::json value;
-    bool whole = false; ///< read to its end; a name that stands twice does not prevent that
-    std::vector<Problem> problems; ///< a name that stands twice, bad syntax, too deep, too long
+    bool isComplete = false; ///< parsed to its end, possibly with duplicate names
+    std::vector<Problem> problems; ///< duplicate names, bad syntax, too deep, too long
 };
 
-/// Reads \a text, which must be one object of at most \a maxBytes. A name that stands twice in
-/// an object is a problem and not silently the last one's value.
+/// Parses \a text, which must be one object of at most \a maxBytes. A name that occurs twice in an
+/// object is reported as a problem; the last value does not silently win.
 JsonDocument parseJson(const std::string &text, std::size_t maxBytes);
 
-/// "a.b" and "c" joined: "a.b.c".
+/// Joins "a.b" and "c" to "a.b.c".
 std::string joinPath(const std::string &path, const std::string &name);
 
-/// \a value as JSON text, cut to a length that fits a message; bytes that are not UTF-8 replaced.
+/// \a value as JSON text, truncated to a length that fits a message; invalid UTF-8 is replaced.
 std::string truncatedJson(const nlohmann::json &value);
 
 } // namespace guavavalve
--- a/src/schema/problem.cpp
+++ b/src/schema/problem.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-/// A document made of faults must not make an answer, or what is kept of it, without bounds.
-constexpr std::size_t mostShownProblems = 50;
-constexpr std::size_t longestShownProblem = 400;
+/// These bound the size of an answer, and of what is stored of it, for a document full of problems.
+constexpr std::size_t maxShownProblems = 50;
+constexpr std::size_t maxProblemLength = 400;
 
 } // namespace
 
@@ -25,9 +25,9 @@
         document + ": " + std::to_string(problems.size()) + " problem(s), nothing was applied";
     std::size_t shown = 0;
     for (const Problem &problem : problems) {
-        if (++shown > internal::mostShownProblems)
+        if (++shown > internal::maxShownProblems)
             return text + "\n  and more";
-        text += "\n  " + problem.text().substr(0, internal::longestShownProblem);
+        text += "\n  " + problem.text().substr(0, internal::maxProblemLength);
     }
     return text;
 }
--- a/src/schema/problem.h
+++ b/src/schema/problem.h
@@ -5,10 +5,10 @@
 
 namespace guavavalve {
 
-/// One fault of a JSON document, for the person who wrote it.
+/// A problem in a JSON document, described for the author of the document.
 struct Problem
 {
-    std::string path; ///< in the document: "election.timeoutMs"; empty: the whole
+    std::string path; ///< in the document: "election.timeoutMs"; empty: the whole document
     std::string found;
     std::string allowed;
 
@@ -16,7 +16,7 @@
     std::string text() const;
 };
 
-/// The first 50 of \a problems, one a line, below a line that counts them all.
+/// A line with the number of \a problems, and below it the first 50, one per line.
 std::string problemsText(const std::string &document, const std::vector<Problem> &problems);
 
 } // namespace guavavalve
--- a/src/schema/reference.cpp
+++ b/src/schema/reference.cpp
@@ -7,7 +7,7 @@
 
 std::string defaultOf(const FieldSpec &spec)
 {
-    return spec.required ? "none, must be given" : spec.defaultText;
+    return spec.required ? "none, required" : spec.defaultText;
 }
 
 } // namespace
@@ -27,11 +27,11 @@
 std::string referencePage(const std::string &title, const std::vector<FieldSpec> &specs)
 {
     std::string page = "# " + title + "\n\n";
-    page += "| name | type | allowed | default | what it is |\n| --- | --- | --- | --- | --- |\n";
+    page += "| name | type | allowed | default | description |\n| --- | --- | --- | --- | --- |\n";
     for (const FieldSpec &spec : specs) {
         page += "| `" + spec.path + "` | " + std::string(enumName(fieldTypeNames, spec.type))
             + " | " + spec.allowed() + " | `" + internal::defaultOf(spec) + "` | " + spec.doc
-            + (spec.operatorsOnly ? " Only operators change it." : "") + " |\n";
+            + (spec.operatorsOnly ? " Only operators can change it." : "") + " |\n";
     }
     return page;
 }
--- a/src/settings/daemonsettings.h
+++ b/src/settings/daemonsettings.h
@@ -10,11 +10,11 @@
 
 namespace guavavalve {
 
-/// The settings of one daemon. Their table, with units, ranges and texts, is in
+/// The settings of a daemon. Their table, with units, ranges and descriptions, is in
 /// daemonsettingstable.cpp; a member's initial value is the setting's default.
 ///
-/// Times are durations in milliseconds, as configured; whoever uses one stores the deadline that
-/// follows from it.
+/// Times are durations in milliseconds, as configured; code that uses one stores the deadline that
+/// results from it.
 struct DaemonSettings
 {
     InstanceId instance;
@@ -26,9 +26,9 @@
 
     std::string callersListen = "127.0.0.1:7080";
     std::string messengerListen = "127.0.0.1:7081";
-    std::string callersAdvertise; ///< empty: as callersListen
-    std::string messengerAdvertise; ///< empty: as messengerListen
-    std::vector<std::string> replicas; ///< messenger addresses at which to look for the controller
+    std::string callersAdvertise; ///< empty: same as callersListen
+    std::string messengerAdvertise; ///< empty: same as messengerListen
+    std::vector<std::string> replicas; ///< messenger addresses used to find the controller
 
     std::int64_t electionTimeoutMs = 1000;
     std::int64_t heartbeatMs = 100;
--- a/src/settings/daemonsettingstable.h
+++ b/src/settings/daemonsettingstable.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve {
 
-/// The table that the checks, the help text and the reference page come from.
+/// The table from which the checks, the help text and the reference page are derived.
 const FieldTable<DaemonSettings> &daemonSettingsTable();
 
 /// The text of `--help-settings`.
--- a/src/settings/loadsettings.cpp
+++ b/src/settings/loadsettings.cpp
@@ -15,18 +15,18 @@
 
 constexpr std::size_t maxSettingsBytes = std::size_t{256} * 1024;
 
-/// Settings that are each in range and yet cannot work together.
-std::vector<Problem> checkTogether(const DaemonSettings &settings)
+/// Conflicts between settings that are each in range.
+std::vector<Problem> checkCombinations(const DaemonSettings &settings)
 {
     std::vector<Problem> problems;
-    // With fewer than three heartbeats in a timeout a single lost one unseats a healthy leader.
+    // With fewer than three heartbeats per timeout, a single lost one deposes a healthy leader.
     if (settings.heartbeatMs * 3 > settings.electionTimeoutMs)
         problems.push_back({"replication.heartbeatMs", std::to_string(settings.heartbeatMs),
                             "at most a third of replication.electionTimeoutMs, "
                                 + std::to_string(settings.electionTimeoutMs)});
     if (settings.replicas.empty() && !settings.holdsReplica())
         problems.push_back({"cluster.replicas", "nothing",
-                            "at least one address, as this instance holds no replica itself"});
+                            "at least one address, since this instance holds no replica itself"});
     return problems;
 }
 
@@ -47,12 +47,12 @@
     JsonDocument document = parseJson(text, internal::maxSettingsBytes);
     std::vector<Problem> problems = std::move(document.problems);
     DaemonSettings settings;
-    if (document.whole && document.value.is_object()) {
+    if (document.isComplete && document.value.is_object()) {
         for (Problem &problem : daemonSettingsTable().read(document.value, settings))
             problems.push_back(std::move(problem));
     }
     if (problems.empty())
-        problems = internal::checkTogether(settings);
+        problems = internal::checkCombinations(settings);
     if (!problems.empty())
         return failure(ErrorCode::InvalidArgument, problemsText("the settings", problems));
     internal::fillAdvertised(settings);
--- a/src/settings/loadsettings.h
+++ b/src/settings/loadsettings.h
@@ -7,13 +7,13 @@
 
 namespace guavavalve {
 
-/// Reads the settings from JSON text. Advertised addresses that are not given are filled in.
-/// \errors InvalidArgument naming every unknown, doubled, missing, wrongly typed or
-/// out-of-range setting and every pair that does not agree, one a line, all at once.
+/// Parses settings from JSON text. Advertised addresses default to the listen addresses.
+/// \errors InvalidArgument, with one line for every unknown, duplicate, missing, wrongly typed or
+/// out-of-range setting. If there is none, with one for every pair of settings that conflict.
 Result<DaemonSettings> parseSettings(const std::string &text);
 
-/// The same from the file at \a path.
-/// \errors also NotFound if it cannot be read.
+/// Loads settings from the file at \a path.
+/// \errors those of parseSettings(), and NotFound if the file cannot be read.
 Result<DaemonSettings> loadSettings(const std::string &path);
 
 } // namespace guavavalve
--- a/test/settings/examplestest.cpp
+++ b/test/settings/examplestest.cpp
@@ -15,17 +15,17 @@
 
 using Folder = std::filesystem::path;
 
-/// The failure domains that the settings of \a folder name, and how many hold a replica.
-struct SettingsSeen
+/// The names in the settings files of one folder, and how many of the instances hold a replica.
+struct LoadedSettings
 {
     std::set<std::string> failureDomains;
     std::set<std::string> instances;
     int replicas = 0;
 };
 
-SettingsSeen loadAll(const Folder &folder)
+LoadedSettings loadAll(const Folder &folder)
 {
-    SettingsSeen seen;
+    LoadedSettings loaded;
     for (const auto &file : std::filesystem::directory_iterator(folder)) {
         const std::string name = file.path().filename().string();
         if (name.rfind("settings-", 0) != 0)
@@ -34,16 +34,16 @@
         const auto settings = loadSettings(file.path().string());
         INFO((settings.has_error() ? settings.error().message : ""));
         REQUIRE(settings.has_value());
-        seen.failureDomains.insert(settings.value().failureDomain);
-        CHECK(seen.instances.insert(settings.value().instance).second);
+        loaded.failureDomains.insert(settings.value().failureDomain);
+        CHECK(loaded.instances.insert(settings.value().instance).second);
         CHECK(settings.value().clusterId == folder.filename().string());
-        seen.replicas += settings.value().holdsReplica() ? 1 : 0;
+        loaded.replicas += settings.value().holdsReplica() ? 1 : 0;
     }
-    return seen;
+    return loaded;
 }
 
-/// Writes each section of the example as an operator would, the cell's first.
-ClusterState written(const Folder &folder)
+/// Applies each section of the example configuration as an operator would, the cell's first.
+ClusterState applyConfiguration(const Folder &folder)
 {
     std::ifstream file(folder / "configuration.json");
     std::stringstream text;
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("the examples of both deployments are accepted as they stand", "[examples]")
+TEST_CASE("the examples of both deployments are accepted unchanged", "[examples]")
 {
     const std::map<std::string, std::set<std::string>> domains{
         {"brandvold", {"regina", "saskatoon", "brandon"}},
@@ -82,16 +82,16 @@
     for (const auto &[name, expected] : domains) {
         INFO(name);
         const Folder folder = Folder(EXAMPLES_FOLDER) / name;
-        const SettingsSeen seen = loadAll(folder);
-        CHECK(seen.failureDomains == expected);
-        CHECK(seen.replicas == 3);
-        const ClusterState state = written(folder);
+        const LoadedSettings loaded = loadAll(folder);
+        CHECK(loaded.failureDomains == expected);
+        CHECK(loaded.replicas == 3);
+        const ClusterState state = applyConfiguration(folder);
         CHECK(state.teams().size() == 6);
         CHECK(state.configuration().cell().totalShares == 1000);
     }
 }
 
-TEST_CASE("a settings file that is not there is told with its path", "[settings]")
+TEST_CASE("a missing settings file is reported with its path", "[settings]")
 {
     const auto settings = loadSettings("no/such/settings.json");
     REQUIRE(settings.has_error());
--- a/test/settings/referencetest.cpp
+++ b/test/settings/referencetest.cpp
@@ -19,19 +19,19 @@
     return text.str();
 }
 
-/// Compares a committed page with what the table gives now, and leaves that in the folder of the
-/// run, from where it can be copied.
+/// Compares a committed page with the one that is generated from the table, and writes the latter
+/// to the working directory, from where it can be copied.
 void checkPage(const std::string &name, const std::string &current)
 {
     std::ofstream(name) << current;
-    INFO("docs/operators/" << name << " is not what the table gives; copy " << name
+    INFO("docs/operators/" << name << " differs from the generated page; copy " << name
                            << " from the folder in which this test ran");
     CHECK(fileText(std::string(OPERATORS_FOLDER) + "/" + name) == current);
 }
 
 } // namespace
 
-TEST_CASE("the reference pages are those of the tables", "[settings]")
+TEST_CASE("the committed reference pages match the tables", "[settings]")
 {
     checkPage("settings-reference.md", settingsReferencePage());
     checkPage("configuration-reference.md",
--- a/test/settings/settingstest.cpp
+++ b/test/settings/settingstest.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-const std::string smallest = R"({
+const std::string minimalSettings = R"({
   "instance": "entry-1", "failureDomain": "regina",
   "cluster": {"id": "brandvold", "secretFile": "cluster.secret", "dataFolder": "data"}
 })";
 
-/// The smallest settings with \a patch merged in.
+/// The minimal settings with \a patch merged in.
 std::string with(const std::string &patch)
 {
-    nlohmann::json document = nlohmann::json::parse(smallest);
+    nlohmann::json document = nlohmann::json::parse(minimalSettings);
     document.merge_patch(nlohmann::json::parse(patch));
     return document.dump();
 }
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("settings fill their struct and leave the rest at its default", "[settings]")
+TEST_CASE("settings that are given are read and the others keep their defaults", "[settings]")
 {
     const auto settings =
         parseSettings(with(R"({"log": {"format": "json"}, "leases": {"configurationMs": 5000},
@@ -58,7 +58,7 @@
     CHECK(settings.value().heartbeatMs == DaemonSettings().heartbeatMs);
 }
 
-TEST_CASE("each bad setting is told with its path, what was found and what is allowed",
+TEST_CASE("an invalid setting is reported with its path, what was found and what is allowed",
           "[settings]")
 {
     const std::string path = "replication.heartbeatMs: found ";
@@ -86,8 +86,8 @@
 }
 
 // An operator edits the first of two lines with the same name and nothing changes, because the
-// reader keeps the last. The second line must be refused.
-TEST_CASE("a doubled setting is refused with its path", "[settings]")
+// parser keeps the last. Duplicate names must be refused.
+TEST_CASE("a duplicate setting is refused with its path", "[settings]")
 {
     CHECK(contains(problemOf(R"({"log": {"level": "info", "level": "debug"}})"),
                    "log.level: found the name twice"));
@@ -95,7 +95,7 @@
                    "log: found the name twice"));
 }
 
-TEST_CASE("all problems are told at once and settings that disagree are refused", "[settings]")
+TEST_CASE("all problems are reported at once and conflicting settings are refused", "[settings]")
 {
     const std::string text =
         problemOf(with(R"({"log": {"queueLines": 0, "colour": true}, "region": 5})"));
@@ -109,7 +109,7 @@
                    "cluster.replicas: found nothing"));
 }
 
-TEST_CASE("every row of the table has a text and a default that its own check allows", "[settings]")
+TEST_CASE("every row of the table has a description and a valid default", "[settings]")
 {
     for (const FieldSpec &spec : daemonSettingsTable().specs()) {
         INFO(spec.path);
@@ -120,14 +120,14 @@
             continue;
         std::string pointer = "/" + spec.path;
         std::replace(pointer.begin(), pointer.end(), '.', '/');
-        nlohmann::json document = nlohmann::json::parse(smallest);
+        nlohmann::json document = nlohmann::json::parse(minimalSettings);
         document[nlohmann::json::json_pointer(pointer)] = nlohmann::json::parse(spec.defaultText);
         if (spec.path != "cluster.dataFolder")
             CHECK(parseSettings(document.dump()).has_value());
     }
 }
 
-TEST_CASE("no damaged byte of the settings stops their reader", "[settings][fuzz]")
+TEST_CASE("damaged settings do not crash the parser", "[settings][fuzz]")
 {
     const std::string whole =
         with(R"({"log": {"format": "json"}, "leases": {"configurationMs": 5000},
@@ -151,7 +151,7 @@
     CHECK(refused > rounds / 2);
 }
 
-TEST_CASE("a number beyond 64 signed bits passes for no negative one", "[schema]")
+TEST_CASE("a number above the signed 64-bit range is not taken for a negative one", "[schema]")
 {
     FieldSpec spec;
     spec.path = "offset";
