--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -61,7 +61,7 @@
     std::uint64_t nextSequence = 1;
     std::deque<Segment> segments;
     std::mutex saveMutex; ///< held while a snapshot is written: one at a time
-    std::mutex snapshotMutex; ///< guards the two below; held briefly, as the log's thread reads
+    std::mutex snapshotMutex; ///< guards the two below; held briefly: the log's thread takes it
     LogIndex snapshotIndex = 0;
     std::uint64_t snapshotStateOffset = 0; ///< offset of the state in the snapshot file
 };
