--- a/src/core/memoryarchive.h
+++ b/src/core/memoryarchive.h
@@ -39,9 +39,9 @@
 
 /// A cereal archive that reads from memory and validates every length before using it.
 ///
-/// Guards against a damaged or foreign message that claims a huge container, for which the process
-/// would run out of memory and be killed. Every element takes at least one byte, so a claimed count
-/// above the number of remaining bytes is rejected before anything is allocated.
+/// Guards against a corrupt or malicious message that declares a huge container, for which the
+/// process would run out of memory and be killed. Every element takes at least one byte, so a
+/// declared count above the number of remaining bytes is rejected before anything is allocated.
 class MemoryInputArchive
     : public cereal::InputArchive<MemoryInputArchive, cereal::AllowEmptyClassElision>
 {
@@ -139,7 +139,7 @@
     }
     if (size > archive.bytesLeft())
         throw cereal::Exception(
-            "a container claims more elements than there are bytes left in the message");
+            "a container declares more elements than there are bytes left in the message");
     tag.size = static_cast<std::remove_reference_t<T>>(size);
 }
 
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -51,11 +51,11 @@
     }
     friend bool operator!=(const Resources &a, const Resources &b) { return !(a == b); }
 
-    /// True if no amount exceeds that of \a room.
-    bool fitsInto(const Resources &room) const
+    /// True if no amount exceeds that of \a capacity.
+    bool fitsInto(const Resources &capacity) const
     {
         for (std::size_t i = 0; i < resourceKindCount; ++i) {
-            if (this->amounts[i] > room.amounts[i])
+            if (this->amounts[i] > capacity.amounts[i])
                 return false;
         }
         return true;
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -46,9 +46,9 @@
     if (auto appended = this->disk->append(name, bytes); !appended)
         return appended;
     ++this->nextSequence;
-    // Set only after the append, so that the header of a later segment is never ahead of the
-    // batches: a crash between the two would leave a replica that counts as formed but lacks the
-    // first entry.
+    // Set only after the append, so that the header of a later segment never holds a state that no
+    // batch has stored: a crash between the two would leave a replica that counts as formed but
+    // lacks the first entry.
     if (batch.hardState)
         this->hardState = *batch.hardState;
     segment.bytes += bytes.size();
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -60,8 +60,9 @@
     HardState hardState;
     std::uint64_t nextSequence = 1;
     std::deque<Segment> segments;
-    std::mutex saveMutex; ///< held while a snapshot is written: one at a time
-    std::mutex snapshotMutex; ///< guards the two below; held briefly: the log's thread takes it
+    std::mutex saveMutex; ///< serializes the writing of snapshots
+    /// Guards the two members below. Held only briefly, because the log's thread takes it as well.
+    std::mutex snapshotMutex;
     LogIndex snapshotIndex = 0;
     std::uint64_t snapshotStateOffset = 0; ///< offset of the state in the snapshot file
 };
--- a/src/journal/journalrecovery.cpp
+++ b/src/journal/journalrecovery.cpp
@@ -37,6 +37,7 @@
 
 namespace {
 
+/// The error for an intact file that is not of this program, cluster, group, replica or format.
 Error foreignFileError(const std::string &name, const std::string &why)
 {
     return failure(ErrorCode::Conflict,
@@ -49,8 +50,8 @@
 {
     return failure(ErrorCode::Corrupt,
                    "the file " + name + " is damaged: " + why
-                       + "; nothing was changed. Move the folder away: this instance then joins "
-                         "again as a new replica");
+                       + "; nothing was changed. Move the folder away: this instance then rejoins "
+                         "as a new replica");
 }
 
 bool hasSuffix(const std::string &name, std::string_view suffix)
@@ -169,15 +170,16 @@
         if (!frame || frame->sequence != scan.nextSequence) {
             // A batch is written only after the one before it was synced. So if there is a later
             // one, this one was acknowledged and has been damaged since, and truncating the segment
-            // would lose data that others rely on. Only the last batch can be torn by a crash.
+            // would lose data that other replicas rely on. Only the last batch can be torn by a
+            // crash.
             const auto rest = bytes.substr(offset);
             if (!isNewest || holdsLaterFrame(rest, scan.nextSequence, replicaSeed))
-                return damagedFileError(name, "at byte " + std::to_string(offset));
+                return damagedFileError(name, "invalid frame at byte " + std::to_string(offset));
             break;
         }
         auto batch = decode<WriteBatch>(frame->payload);
         if (!batch)
-            return damagedFileError(name, "at byte " + std::to_string(offset));
+            return damagedFileError(name, "invalid batch at byte " + std::to_string(offset));
         if (auto replayed = this->replay(scan, batch.value()); !replayed)
             return damagedFileError(name, replayed.error().message);
         for (const LogEntry &entry : batch.value().entries)
@@ -213,7 +215,7 @@
             scan.base = entry.index - 1;
         }
         if (entry.index > scan.base + entries.size() + 1)
-            return failure(ErrorCode::Corrupt, "entries are missing between two entries");
+            return failure(ErrorCode::Corrupt, "the log has a gap");
         entries.resize(entry.index - scan.base - 1);
         entries.push_back(entry);
     }
@@ -268,7 +270,8 @@
         entries.erase(entries.begin(),
                       entries.begin() + static_cast<std::ptrdiff_t>(snapshot - scan.base));
     } else if (snapshot != scan.base) {
-        // A crash came between saving a leader's snapshot and the batch that resets the log.
+        // The process crashed after it saved a leader's snapshot and before it wrote the batch that
+        // resets the log.
         entries.clear();
         scan.needsLogReset = true;
     }
--- a/src/journal/posixdisk.cpp
+++ b/src/journal/posixdisk.cpp
@@ -69,8 +69,8 @@
     }
     const std::string parent =
         std::filesystem::absolute(std::filesystem::path(this->folder)).parent_path().string();
-    PosixDisk outer(parent);
-    return outer.syncFolder();
+    PosixDisk parentDisk(parent);
+    return parentDisk.syncFolder();
 }
 
 std::string PosixDisk::path(const std::string &name) const
--- a/src/schema/jsondocument.cpp
+++ b/src/schema/jsondocument.cpp
@@ -112,8 +112,9 @@
     }
 
     JsonDocument &document;
-    std::vector<json *>
-        stack; ///< open objects and arrays; stay valid, as only the innermost one is added to
+    /// The open objects and arrays. The pointers stay valid because elements are added only to the
+    /// innermost one.
+    std::vector<json *> stack;
     std::vector<std::string> names;
 };
 
--- a/src/settings/daemonsettingstable.cpp
+++ b/src/settings/daemonsettingstable.cpp
@@ -69,7 +69,8 @@
                   "Lease on the configuration; an entry instance that does not renew it stops "
                   "accepting work.");
     table.integer("timeouts.announcementBatchMs", &Settings::announcementBatchMs, Unit::Ms,
-                  {1, 1000}, "How long the first announcement of a batch waits for more.");
+                  {1, 1000},
+                  "How long the first announcement of a batch waits for others to join it.");
     table.integer("timeouts.callMs", &Settings::callTimeoutMs, Unit::Ms, {10, 60000},
                   "Timeout of a call to another instance.");
     table.integer(
--- a/test/core/codectest.cpp
+++ b/test/core/codectest.cpp
@@ -44,9 +44,9 @@
     CHECK(read.value().workClass == WorkClass::Gang);
 }
 
-// A damaged message claims a container of 2^60 elements. Without the check on lengths the process
-// requests that much memory and is killed; the caller sees a dropped connection.
-TEST_CASE("a message that claims an impossible length is refused", "[codec]")
+// A damaged message declares a container of 2^60 elements. Without the check on lengths the process
+// would try to allocate that much memory and be killed; the caller sees a dropped connection.
+TEST_CASE("a message that declares an impossible length is refused", "[codec]")
 {
     const std::string claim = std::string(8, '\x80') + '\x10'; // seven bits per byte: 2^60
     const auto text = decode<std::string>(claim + "abc");
--- a/test/journal/fakedisk.h
+++ b/test/journal/fakedisk.h
@@ -25,7 +25,8 @@
     Names current;
     Names durable; ///< names as of the last sync of the folder
     std::vector<std::function<void(Names &)>> unsynced; ///< changes of names since then
-    /// Steps until the simulated process is killed: the last of them and all later ones fail.
+    /// Steps until the simulated process is killed: the step that makes it zero, and all later
+    /// ones, fail.
     std::int64_t stepsLeft = -1; ///< negative: never killed
     std::size_t steps = 0; ///< number of steps taken so far
     bool isFull = false; ///< appends fail with WriteRefused
--- a/test/journal/journaltest.cpp
+++ b/test/journal/journaltest.cpp
@@ -117,7 +117,7 @@
 
 // A disk returns a wrong byte somewhere in the log, long after it was written and acknowledged.
 // Truncating the log there would lose commands that others rely on: recovery must fail with a clear
-// message, and leave the files untouched for the investigation.
+// message, and leave the files untouched for analysis.
 TEST_CASE("damage before the last batch is an error and changes nothing", "[journal]")
 {
     auto folder = std::make_shared<FakeFolder>();
