--- a/src/callers/answerfetch.cpp
+++ b/src/callers/answerfetch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Milliseconds pauseBetweenTries{100};
+constexpr Milliseconds retryDelay{100};
 
 class AnswerFetch : public std::enable_shared_from_this<AnswerFetch>
 {
@@ -39,15 +39,16 @@
             this->done(report.value().answer);
             return;
         }
-        // A target that no longer knows will not know later either.
-        const bool hopeless = report.has_value() || report.error().code == ErrorCode::NotFound;
-        if (!hopeless && monotonicNow() + pauseBetweenTries < this->deadline) {
+        // A target that no longer knows the attempt will not know it later either.
+        const bool permanent = report.has_value() || report.error().code == ErrorCode::NotFound;
+        if (!permanent && monotonicNow() + retryDelay < this->deadline) {
             auto self = this->shared_from_this();
-            this->timers.runAfter(pauseBetweenTries, [self] { self->ask(); });
+            this->timers.runAfter(retryDelay, [self] { self->ask(); });
             return;
         }
-        Error error = failure(ErrorCode::IncompleteAnswer,
-                              "the task succeeded, but its target does not give its answer");
+        Error error =
+            failure(ErrorCode::IncompleteAnswer,
+                    "the task succeeded, but its target did not return the committed answer");
         error.ran = Ran::Yes;
         this->done(error);
     }
--- a/src/callers/callercontract.h
+++ b/src/callers/callercontract.h
@@ -5,7 +5,7 @@
 namespace guavavalve {
 
 /// \file
-/// Names of the callers' interface (docs/callers.md).
+/// Paths and headers of the HTTP interface for callers (docs/callers.md).
 
 inline constexpr std::string_view jobsPath = "/v1/jobs";
 
--- a/src/callers/calleridentity.h
+++ b/src/callers/calleridentity.h
@@ -8,16 +8,16 @@
 
 namespace guavavalve {
 
-/// Who a caller is, as its key says.
+/// The identity of a caller, taken from its key.
 struct CallerIdentity
 {
     std::string keyId;
     std::string team;
 };
 
-/// Checks the bearer token of a request.
+/// Authenticates a request by its bearer token.
 /// \errors Unauthenticated if the key is unknown or withdrawn; Unavailable if this instance
-/// cannot know, because it has heard from no controller within its lease.
+/// cannot tell, because its lease from the controller has expired.
 using KeyCheck = std::function<Result<CallerIdentity>(std::string_view bearer)>;
 
 } // namespace guavavalve
--- a/src/callers/callerservice.cpp
+++ b/src/callers/callerservice.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr Milliseconds comeBack{1000};
+constexpr Milliseconds retryAfterDelay{1000};
 constexpr std::string_view answerSuffix = "/answer";
 constexpr std::string_view bearerPrefix = "Bearer ";
 
@@ -39,7 +39,7 @@
 }
 
 /// The part of \a path after "/v1/jobs/".
-std::string_view jobPart(std::string_view path)
+std::string_view jobPathSuffix(std::string_view path)
 {
     return path.size() > jobsPath.size() ? path.substr(jobsPath.size() + 1) : std::string_view();
 }
@@ -48,14 +48,14 @@
 
 struct CallerService::Private : std::enable_shared_from_this<CallerService::Private>
 {
-    /// An authenticated request on its way to its one reply.
+    /// An authenticated request that has not been replied to yet.
     struct Request
     {
         HttpRequest http;
         HttpReply reply;
         CallerIdentity caller;
         Instant received;
-        bool waits = false; ///< the reply is to come at the job's end
+        bool waits = false; ///< reply only once the job has finished
     };
     using Handler = void (Private::*)(Request &);
 
@@ -83,10 +83,10 @@
     void submit(Request &request);
     void submitted(const Request &request, const SubmitRequest &submit, Result<SubmitReply> result);
     void wait(const Request &request, const SubmitRequest &submit, SubmitReply accepted);
-    void look(Request &request);
+    void handleGet(Request &request);
     void status(const Request &request, JobId job);
     void answer(const Request &request, JobId job);
-    void giveAnswer(const HttpReply &reply, std::size_t index, const JobStatus &status);
+    void sendAnswer(const HttpReply &reply, std::size_t index, const JobStatus &status);
     void cancel(Request &request);
     void count(Ran ran);
     void fail(const HttpReply &reply, const Error &error);
@@ -121,8 +121,8 @@
     }
     const std::string keyId = caller.value().keyId;
     if (!this->openRequests.open(keyId)) {
-        Error error = failure(ErrorCode::LimitExceeded, "too many requests of this key are open");
-        error.retryAfter = comeBack;
+        Error error = failure(ErrorCode::LimitExceeded, "this key has too many open requests");
+        error.retryAfter = retryAfterDelay;
         this->fail(reply, error);
         return;
     }
@@ -140,8 +140,9 @@
 
 void CallerService::Private::submit(Request &request)
 {
-    if (!jobPart(request.http.path).empty()) {
-        this->fail(request.reply, failure(ErrorCode::NotFound, "jobs are posted to /v1/jobs"));
+    if (!jobPathSuffix(request.http.path).empty()) {
+        this->fail(request.reply,
+                   failure(ErrorCode::NotFound, "jobs must be submitted with POST to /v1/jobs"));
         return;
     }
     auto parsed = parseSubmit(std::move(request.http), request.caller, this->options.entry);
@@ -152,11 +153,11 @@
     auto self = this->shared_from_this();
     SubmitRequest submit = std::move(parsed).value();
     std::string payload = std::move(submit.payload);
-    const SubmitRequest described = submit;
+    const SubmitRequest withoutPayload = submit;
     submit.payload = std::move(payload);
     this->context.controller.submit(std::move(submit), this->controllerDeadline(),
-                                    [self, request, described](Result<SubmitReply> result) {
-                                        self->submitted(request, described, std::move(result));
+                                    [self, request, withoutPayload](Result<SubmitReply> result) {
+                                        self->submitted(request, withoutPayload, std::move(result));
                                     });
 }
 
@@ -181,8 +182,8 @@
                                   SubmitReply accepted)
 {
     const Milliseconds longest = submit.finishWithinMs > 0
-        ? std::min(Milliseconds(submit.finishWithinMs), this->options.longestWait)
-        : this->options.longestWait;
+        ? std::min(Milliseconds(submit.finishWithinMs), this->options.maxWait)
+        : this->options.maxWait;
     auto self = this->shared_from_this();
     auto call = std::make_shared<WaitingCall>(
         this->context, submit.team, submit.tasks, request.received, request.received + longest,
@@ -196,9 +197,9 @@
     call->start(std::move(accepted));
 }
 
-void CallerService::Private::look(Request &request)
+void CallerService::Private::handleGet(Request &request)
 {
-    std::string_view part = jobPart(request.http.path);
+    std::string_view part = jobPathSuffix(request.http.path);
     const bool wantsAnswer = part.size() > answerSuffix.size()
         && part.substr(part.size() - answerSuffix.size()) == answerSuffix;
     if (wantsAnswer)
@@ -216,7 +217,7 @@
 {
     const bool awaitEnd = request.http.parameter("wait") == "true";
     const Instant deadline =
-        awaitEnd ? request.received + this->options.longestWait : this->controllerDeadline();
+        awaitEnd ? request.received + this->options.maxWait : this->controllerDeadline();
     auto self = this->shared_from_this();
     this->context.controller.jobStatus(
         request.caller.team, job, request.waits, deadline,
@@ -243,13 +244,13 @@
         request.caller.team, job, false, this->controllerDeadline(),
         [self, reply = request.reply, index](const Result<JobStatus> &status) {
             if (status)
-                self->giveAnswer(reply, index, status.value());
+                self->sendAnswer(reply, index, status.value());
             else
                 self->fail(reply, status.error());
         });
 }
 
-void CallerService::Private::giveAnswer(const HttpReply &reply, std::size_t index,
+void CallerService::Private::sendAnswer(const HttpReply &reply, std::size_t index,
                                         const JobStatus &status)
 {
     if (index >= status.tasks.size()) {
@@ -277,7 +278,7 @@
 
 void CallerService::Private::cancel(Request &request)
 {
-    const auto job = parseJobId(std::string(jobPart(request.http.path)));
+    const auto job = parseJobId(std::string(jobPathSuffix(request.http.path)));
     if (!job) {
         this->fail(request.reply, job.error());
         return;
@@ -319,7 +320,7 @@
     : d(std::make_shared<Private>(dependencies, std::move(keyCheck), std::move(options)))
 {
     this->d->addRoute(dependencies.server, "POST", &Private::submit);
-    this->d->addRoute(dependencies.server, "GET", &Private::look);
+    this->d->addRoute(dependencies.server, "GET", &Private::handleGet);
     this->d->addRoute(dependencies.server, "DELETE", &Private::cancel);
 }
 
--- a/src/callers/callerservice.h
+++ b/src/callers/callerservice.h
@@ -18,24 +18,24 @@
 struct CallerServiceOptions
 {
     InstanceId entry; ///< this instance
-    Milliseconds longestWait{600 * 1000}; ///< of a waiting call without a deadline
-    Milliseconds controllerTimeout{5000}; ///< of one call to the controller
-    std::size_t maxOpenPerKey = 1024; ///< requests of one key open at once at this entry
+    Milliseconds maxWait{600 * 1000}; ///< for a call that waits without a deadline
+    Milliseconds controllerTimeout{5000}; ///< for one call to the controller
+    std::size_t maxOpenPerKey = 1024; ///< limit of open requests per key at this entry
 };
 
-/// What the callers' interface counts.
+/// Counters of a CallerService: submissions, and how requests ended.
 struct CallerCounters
 {
     std::size_t accepted = 0;
     std::size_t joined = 0;
     std::size_t answered = 0;
-    std::size_t refused = 0; ///< ran: no
-    std::size_t failed = 0; ///< ran: yes
-    std::size_t unknown = 0; ///< ran: unknown
+    std::size_t refused = 0; ///< failures that report "ran": "no"
+    std::size_t failed = 0; ///< failures that report "ran": "yes"
+    std::size_t unknown = 0; ///< failures that report "ran": "unknown"
 };
 
-/// The callers' interface over HTTP (docs/callers.md): submit and wait or poll, status, answer,
-/// cancel.
+/// The HTTP interface for callers (docs/callers.md): submits jobs and waits for them, reports
+/// their status, returns their answers and cancels them.
 class CallerService
 {
 public:
@@ -48,7 +48,8 @@
         TimerQueue &timers;
     };
 
-    /// Registers its routes with the server. The dependencies outlive this and its last reply.
+    /// Registers its routes with the server. The dependencies must outlive this object and its last
+    /// reply.
     CallerService(Dependencies dependencies, KeyCheck keyCheck, CallerServiceOptions options);
     ~CallerService();
 
--- a/src/callers/jobreplies.cpp
+++ b/src/callers/jobreplies.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Milliseconds comeBack{1000};
+constexpr Milliseconds retryAfterDelay{1000};
 
 nlohmann::json taskJson(const TaskStatus &task)
 {
@@ -24,9 +24,9 @@
             {"message", task.message}};
 }
 
-Error taskError(ErrorCode code, const TaskStatus &task, const std::string &otherwise)
+Error taskError(ErrorCode code, const TaskStatus &task, const std::string &defaultMessage)
 {
-    Error error = failure(code, task.message.empty() ? otherwise : task.message);
+    Error error = failure(code, task.message.empty() ? defaultMessage : task.message);
     error.ran = task.ran;
     return error;
 }
@@ -65,7 +65,7 @@
 std::optional<Error> failureOf(const TaskStatus &task)
 {
     if (task.refused) {
-        Error refused = taskError(task.refusal, task, "the job was given up while it waited");
+        Error refused = taskError(task.refusal, task, "the job was dropped while it was waiting");
         refused.retryAfter = Milliseconds(task.retryAfterMs);
         return refused;
     }
@@ -76,16 +76,16 @@
         return taskError(ErrorCode::Cancelled, task, "the job was cancelled");
     case TaskState::Unknown:
         return taskError(ErrorCode::TargetFailed, task,
-                         "the target was lost, and nobody can know whether the task ran");
+                         "the target was lost; it cannot be determined whether the task ran");
     case TaskState::Failed:
         break;
     case TaskState::Waiting:
     case TaskState::Placed: {
-        // It may still run after this reply, so "no" would not stay true.
+        // The task may still start after this reply, so "ran: no" could become false.
         Error unfinished = failure(ErrorCode::DeadlineExceeded,
                                    "the job has not finished yet; ask again for its status");
         unfinished.ran = Ran::Unknown;
-        unfinished.retryAfter = comeBack;
+        unfinished.retryAfter = retryAfterDelay;
         return unfinished;
     }
     }
@@ -93,7 +93,7 @@
         return taskError(ErrorCode::TargetFailed, task, "the task failed on its target");
     Error refused =
         taskError(ErrorCode::DeadlineExceeded, task, "the job could not start by its deadline");
-    refused.retryAfter = comeBack;
+    refused.retryAfter = retryAfterDelay;
     return refused;
 }
 
@@ -110,7 +110,7 @@
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
     if (parsed.ec != std::errc() || parsed.ptr != end || value == 0)
-        return failure(ErrorCode::InvalidArgument, "a job is named by its number");
+        return failure(ErrorCode::InvalidArgument, "a job number must be a positive integer");
     return JobId{value};
 }
 
--- a/src/callers/jobreplies.h
+++ b/src/callers/jobreplies.h
@@ -11,19 +11,20 @@
 
 namespace guavavalve {
 
-/// Where a job stands, as JSON.
+/// The state of a job and its tasks, as JSON.
 HttpResponse statusResponse(const JobStatus &status, int httpStatusCode);
 
-/// A job's whole answer.
+/// The complete answer of a job.
 HttpResponse answerResponse(JobId job, std::string answer, std::optional<std::int64_t> waitedMs);
 
-/// Why \a task, which is in a final state, has no answer; nothing if it succeeded.
+/// The reason why \a task has no answer; nullopt if it succeeded. A task that has not finished
+/// yields DeadlineExceeded with Ran::Unknown.
 std::optional<Error> failureOf(const TaskStatus &task);
 
-/// \a error as a reply about \a job.
+/// The reply that reports \a error for \a job.
 HttpResponse jobErrorResponse(JobId job, const Error &error);
 
-/// \errors InvalidArgument if \a text is not a job's number.
+/// \errors InvalidArgument if \a text is not a job number, which is a positive integer.
 Result<JobId> parseJobId(const std::string &text);
 
 } // namespace guavavalve
--- a/src/callers/openrequests.h
+++ b/src/callers/openrequests.h
@@ -7,21 +7,21 @@
 
 namespace guavavalve {
 
-/// How many requests of each key are open at this entry: one key's flood must not take the room
-/// of the others.
+/// Limits the requests that each key has open at this entry, so that one key cannot use up the
+/// capacity of the others.
 class OpenRequests
 {
 public:
-    explicit OpenRequests(std::size_t mostPerKey)
-        : mostPerKey(mostPerKey)
+    explicit OpenRequests(std::size_t maxPerKey)
+        : maxPerKey(maxPerKey)
     {}
 
-    /// False if the key has as many open as it may.
+    /// Counts one more open request; false if the key has reached its limit.
     bool open(const std::string &keyId)
     {
         const std::lock_guard lock(this->mutex);
         std::size_t &count = this->countOfKey[keyId];
-        if (count >= this->mostPerKey)
+        if (count >= this->maxPerKey)
             return false;
         ++count;
         return true;
@@ -36,7 +36,7 @@
     }
 
 private:
-    std::size_t mostPerKey;
+    std::size_t maxPerKey;
     std::mutex mutex;
     std::unordered_map<std::string, std::size_t> countOfKey;
 };
--- a/src/callers/submitparsing.cpp
+++ b/src/callers/submitparsing.cpp
@@ -20,8 +20,9 @@
 constexpr std::int64_t maxMs = 31LL * 24 * 3600 * 1000;
 constexpr std::int64_t maxAmount = 2147483647;
 
-/// Made-up keys begin with it, so a caller's own never meets one.
-constexpr char madeUpMark = '~';
+/// First character of generated idempotency keys. Callers' keys must not begin with it, so the
+/// two never collide.
+constexpr char generatedKeyPrefix = '~';
 
 Error wrongHeader(std::string_view name, std::string_view found, std::string_view allowed)
 {
@@ -48,7 +49,7 @@
     return value;
 }
 
-/// One "kind=amount" of the need.
+/// Parses one "kind=amount" item of the need.
 bool readAmount(std::string_view item, Resources &need)
 {
     const std::size_t equals = item.find('=');
@@ -89,23 +90,24 @@
     return need;
 }
 
-std::string madeUpKey(const InstanceId &entry)
+std::string generateIdempotencyKey(const InstanceId &entry)
 {
     static std::atomic<std::uint64_t> counter{0};
-    // Distinguishes the lives of one instance, whose counter begins anew.
-    static const std::uint64_t life =
+    // Keeps keys unique across restarts of an instance, each of which resets the counter.
+    static const std::uint64_t processNonce =
         (static_cast<std::uint64_t>(std::random_device{}()) << 32U) | std::random_device{}();
-    return madeUpMark + entry + "/" + std::to_string(life) + "/" + std::to_string(++counter);
+    return generatedKeyPrefix + entry + "/" + std::to_string(processNonce) + "/"
+        + std::to_string(++counter);
 }
 
 Result<std::string> readIdempotencyKey(const HttpRequest &request, const InstanceId &entry)
 {
     std::string key = request.header(idempotencyKeyHeader);
     if (key.empty())
-        return madeUpKey(entry);
+        return generateIdempotencyKey(entry);
     const bool printable =
         std::all_of(key.begin(), key.end(), [](char c) { return c > ' ' && c <= '~'; });
-    if (key.size() > maxIdempotencyKeyBytes || !printable || key.front() == madeUpMark)
+    if (key.size() > maxIdempotencyKeyBytes || !printable || key.front() == generatedKeyPrefix)
         return wrongHeader(idempotencyKeyHeader, key,
                            "1 to 128 printable ASCII characters without spaces, and not begin "
                            "with \"~\"");
@@ -152,7 +154,7 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> readShape(const HttpRequest &request, SubmitRequest &submit)
+Result<void> readParameters(const HttpRequest &request, SubmitRequest &submit)
 {
     auto workClass = readClass(request);
     if (!workClass)
@@ -177,26 +179,25 @@
 
 std::string submitDigest(const SubmitRequest &request)
 {
-    std::string described(enumName(workClassNames, request.workClass));
+    std::string text(enumName(workClassNames, request.workClass));
     for (const std::int64_t amount : request.need.amounts)
-        described += "," + std::to_string(amount);
-    described += "," + std::to_string(request.tasks) + (request.repeatable ? ",r," : ",o,")
+        text += "," + std::to_string(amount);
+    text += "," + std::to_string(request.tasks) + (request.repeatable ? ",r," : ",o,")
         + std::to_string(request.startWithinMs) + "," + std::to_string(request.finishWithinMs) + ","
         + std::to_string(request.declaredRunTimeMs) + "\n" + request.payload;
-    const XXH128_hash_t hash = XXH3_128bits(described.data(), described.size());
+    const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
     constexpr std::size_t hexBytes = 33;
-    char text[hexBytes];
-    std::snprintf(text, sizeof(text), "%016llx%016llx",
-                  static_cast<unsigned long long>(hash.high64),
+    char hex[hexBytes];
+    std::snprintf(hex, sizeof(hex), "%016llx%016llx", static_cast<unsigned long long>(hash.high64),
                   static_cast<unsigned long long>(hash.low64));
-    return text;
+    return hex;
 }
 
 Result<SubmitRequest> parseSubmit(HttpRequest request, const CallerIdentity &caller,
                                   const InstanceId &entry)
 {
     SubmitRequest submit;
-    if (auto read = readShape(request, submit); !read)
+    if (auto read = readParameters(request, submit); !read)
         return read.error();
     auto key = readIdempotencyKey(request, entry);
     if (!key)
--- a/src/callers/submitparsing.h
+++ b/src/callers/submitparsing.h
@@ -9,12 +9,13 @@
 
 struct HttpRequest;
 
-/// The job in a caller's request: its body is the payload, the rest stands in headers.
-/// \errors InvalidArgument with the header, what was found and what is allowed.
+/// Parses the job in a caller's request: the body is its payload, the headers hold the rest.
+/// \errors InvalidArgument, naming the header, its value and the allowed values.
 Result<SubmitRequest> parseSubmit(HttpRequest request, const CallerIdentity &caller,
                                   const InstanceId &entry);
 
-/// What makes two requests the same: class, need, tasks, repeatable, times and payload.
+/// Digest of what must match for two requests to be the same: class, need, tasks, repeatable,
+/// times and payload.
 std::string submitDigest(const SubmitRequest &request);
 
 } // namespace guavavalve
--- a/src/callers/waitingcall.cpp
+++ b/src/callers/waitingcall.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-/// How long the dispatcher here is waited for before the controller is asked as well.
-constexpr Milliseconds trustInDispatcher{2000};
-constexpr Milliseconds pauseBetweenPolls{200};
-/// Beyond the caller's deadline, so that what ended just in time still reaches it.
-constexpr Milliseconds fetchLimit{10000};
+/// How long to wait for this entry's dispatcher before polling the controller as well.
+constexpr Milliseconds dispatcherGracePeriod{2000};
+constexpr Milliseconds pollInterval{200};
+/// Counted from when the job's end is known rather than limited by the caller's deadline, so that
+/// an answer that was ready just in time still reaches the caller.
+constexpr Milliseconds fetchTimeout{10000};
 
 } // namespace
 
@@ -34,24 +35,24 @@
 {
     this->job = accepted.job;
     auto self = this->shared_from_this();
-    // A job is named after its first task, and only one of a single task has one answer.
+    // A job has the number of its first task, and only a job of one task has a single answer.
     if (this->tasks == 1) {
-        this->listening = this->context.dispatcher.listen(
+        this->listenerId = this->context.dispatcher.listen(
             TaskId{idValue(this->job)},
             [self](const EndedAttempt &attempt) { self->attemptEnded(attempt); });
     }
-    const bool sendsHere = this->tasks == 1 && !accepted.dispatches.empty();
-    if (sendsHere)
-        this->context.timers.runAfter(trustInDispatcher, [self] { self->pollStatus(); });
+    const bool dispatchedHere = this->tasks == 1 && !accepted.dispatches.empty();
+    if (dispatchedHere)
+        this->context.timers.runAfter(dispatcherGracePeriod, [self] { self->pollStatus(); });
     this->context.dispatcher.dispatch(std::move(accepted.dispatches));
-    if (!sendsHere)
+    if (!dispatchedHere)
         this->pollStatus();
 }
 
 void WaitingCall::attemptEnded(const EndedAttempt &attempt)
 {
     if (!attempt.committed || attempt.end.outcome != AttemptOutcome::Succeeded) {
-        // Whether that is the end of the job, the controller knows: it may be tried again.
+        // Only the controller knows whether the job has finished: it may retry the task.
         this->pollStatus();
         return;
     }
@@ -78,11 +79,11 @@
         this->finished(result.value());
         return;
     }
-    if (monotonicNow() + pauseBetweenPolls < this->deadline) {
-        // The controller changed, or held the question for as long as it may.
+    if (monotonicNow() + pollInterval < this->deadline) {
+        // The controller changed, or replied because its own limit for waiting was reached.
         this->polling = false;
         auto self = this->shared_from_this();
-        this->context.timers.runAfter(pauseBetweenPolls, [self] { self->pollStatus(); });
+        this->context.timers.runAfter(pollInterval, [self] { self->pollStatus(); });
         return;
     }
     Error error = failure(ErrorCode::DeadlineExceeded,
@@ -109,7 +110,7 @@
 void WaitingCall::fetch(const TaskStatus &task, std::int64_t waitedMs)
 {
     auto self = this->shared_from_this();
-    fetchAnswer(this->context.targets, this->context.timers, task, monotonicNow() + fetchLimit,
+    fetchAnswer(this->context.targets, this->context.timers, task, monotonicNow() + fetchTimeout,
                 [self, waitedMs](const Result<std::string> &answer) {
                     if (answer)
                         self->finish(answerResponse(self->job, answer.value(), waitedMs),
@@ -128,8 +129,8 @@
 {
     if (this->replied.exchange(true))
         return;
-    if (this->listening != 0)
-        this->context.dispatcher.stopListening(TaskId{idValue(this->job)}, this->listening);
+    if (this->listenerId != 0)
+        this->context.dispatcher.stopListening(TaskId{idValue(this->job)}, this->listenerId);
     this->reply(response, ran);
 }
 
--- a/src/callers/waitingcall.h
+++ b/src/callers/waitingcall.h
@@ -21,10 +21,11 @@
 class TimerQueue;
 struct HttpResponse;
 
-/// A caller that waits for its accepted job, to the one reply that it gets.
+/// A caller's request that waits for its accepted job and is replied to exactly once.
 ///
-/// The answer comes from this entry's dispatcher, if it sends the work, or else from the target
-/// once the controller tells of the end: the job may have been joined, or sent by another entry.
+/// The answer comes from this entry's dispatcher if it sent the task. Otherwise, when the request
+/// joined another one or another entry sent the task, it is fetched from the target once the
+/// controller reports that the job has finished.
 class WaitingCall : public std::enable_shared_from_this<WaitingCall>
 {
 public:
@@ -36,13 +37,13 @@
         TimerQueue &timers;
     };
 
-    /// \a reply is called once, with an error's Ran, if it is one, for counting.
+    /// Called once with the response; for an error, also with its Ran, for the counters.
     using Reply = std::function<void(const HttpResponse &, std::optional<Ran>)>;
 
     WaitingCall(const Context &context, std::string team, std::uint32_t tasks, Instant received,
                 Instant deadline, Reply reply);
 
-    /// Waits for the job of \a accepted, and has its orders carried out.
+    /// Waits for the job of \a accepted, and passes its orders to the dispatcher.
     void start(SubmitReply accepted);
 
 private:
@@ -61,7 +62,7 @@
     Instant deadline;
     Reply reply;
     JobId job = JobId::None;
-    std::uint64_t listening = 0;
+    std::uint64_t listenerId = 0;
     std::atomic<bool> polling{false};
     std::atomic<bool> replied{false};
 };
--- a/src/operators/operatoridentification.cpp
+++ b/src/operators/operatoridentification.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How long the comparison takes tells nothing of where two texts differ.
+/// The time that the comparison takes does not reveal where the two strings differ.
 bool equalInConstantTime(const std::string &left, const std::string &right)
 {
     return left.size() == right.size()
--- a/src/operators/operatoridentification.h
+++ b/src/operators/operatoridentification.h
@@ -9,13 +9,14 @@
 
 namespace guavavalve {
 
-/// The record of the key that \a token is, by this instance's copy of the configuration.
-/// \errors Unauthenticated.
+/// Looks up the key that \a token belongs to in this instance's copy of the configuration.
+/// \errors Unauthenticated if there is no such key.
 using KeyIdentification = std::function<Result<KeyRecord>(const std::string &token)>;
 
-/// Who holds \a token: a key of the configuration, or "cluster-secret:SECRET", which is whoever
-/// knows the cluster's own secret and is an operator before there are any keys.
-/// \errors Unauthenticated.
+/// The identity that \a token proves: that of a key in the configuration or, for
+/// "cluster-secret:SECRET", an operator who knows the cluster's secret. The latter also works
+/// before any keys exist.
+/// \errors Unauthenticated if \a token is neither.
 Result<OperatorIdentity> identifyOperator(const std::string &token,
                                           const std::string &clusterSecret,
                                           const KeyIdentification &identifyKey);
--- a/src/operators/operatorjson.cpp
+++ b/src/operators/operatorjson.cpp
@@ -25,7 +25,8 @@
     return result;
 }
 
-/// Sections have passed the checks, so their text parses; anything else is shown as text.
+/// Sections have been validated, so their content parses as JSON; any other content becomes a JSON
+/// string.
 json contentJson(const std::string &content)
 {
     json parsed = json::parse(content, nullptr, false);
--- a/src/operators/operatorjson.h
+++ b/src/operators/operatorjson.h
@@ -6,8 +6,8 @@
 
 namespace guavavalve {
 
-/// \a reply as the operators' HTTP interface shows it. Identities of jobs and tasks are texts:
-/// many readers of JSON keep only 53 bits of a number.
+/// Converts \a reply to the JSON of the operators' HTTP interface. Job and task identifiers are
+/// strings, because many JSON parsers keep only 53 bits of a number.
 nlohmann::json toJson(const OperatorReply &reply);
 
 nlohmann::json toJson(const ReplicaStatus &status);
--- a/src/operators/operatorrequestparsing.cpp
+++ b/src/operators/operatorrequestparsing.cpp
@@ -19,10 +19,10 @@
     return failure(ErrorCode::InvalidArgument, message);
 }
 
-template<typename Question>
+template<typename RequestBody>
 Result<OperatorRequestBody> parsePlain(const HttpRequest &)
 {
-    return OperatorRequestBody(Question());
+    return OperatorRequestBody(RequestBody());
 }
 
 Result<OperatorRequestBody> parseShow(const HttpRequest &request)
@@ -33,29 +33,29 @@
 Result<OperatorRequestBody> parseCheck(const HttpRequest &request)
 {
     BodyFields body(request);
-    CheckConfigurationRequest question;
+    CheckConfigurationRequest requestBody;
     for (BodyFields &fields : body.list("drafts"))
-        question.drafts.push_back({fields.text("name"), fields.text("content")});
-    return body.outcome<OperatorRequestBody>(std::move(question));
+        requestBody.drafts.push_back({fields.text("name"), fields.text("content")});
+    return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
-/// The body is the section as its owner wrote it. It is handed on untouched: reading it here and
-/// writing it anew would hide a doubled field from the check.
+/// The body is the section as its owner wrote it. It is passed on unmodified, because parsing and
+/// serialising it here would hide duplicate fields from validation.
 Result<OperatorRequestBody> parseWrite(const HttpRequest &request)
 {
     if (request.path.size() <= sectionsPath.size())
-        return invalid("the path names no section");
+        return invalid("the path does not name a section");
     if (request.parameter("baseVersion").empty())
         return invalid("query parameter baseVersion is missing: give the version that this one "
                        "replaces, 0 for a new section");
     BOOST_OUTCOME_TRY(baseVersion, numberParameter(request, "baseVersion", 0));
     BOOST_OUTCOME_TRY(requestId, requiredParameter(request, "requestId"));
-    WriteSectionRequest question;
-    question.draft.name = request.path.substr(sectionsPath.size());
-    question.draft.content = request.body;
-    question.baseVersion = baseVersion;
-    question.requestId = requestId;
-    return OperatorRequestBody(std::move(question));
+    WriteSectionRequest requestBody;
+    requestBody.draft.name = request.path.substr(sectionsPath.size());
+    requestBody.draft.content = request.body;
+    requestBody.baseVersion = baseVersion;
+    requestBody.requestId = requestId;
+    return OperatorRequestBody(std::move(requestBody));
 }
 
 Result<OperatorRequestBody> parseHistory(const HttpRequest &request)
@@ -67,45 +67,45 @@
 Result<OperatorRequestBody> parseGrant(const HttpRequest &request)
 {
     BodyFields body(request);
-    GrantKeyRequest question;
-    question.team = body.text("team", "");
-    question.label = body.text("label", "");
-    question.requestId = body.text("requestId");
+    GrantKeyRequest requestBody;
+    requestBody.team = body.text("team", "");
+    requestBody.label = body.text("label", "");
+    requestBody.requestId = body.text("requestId");
     const std::string role = body.text("role", "team");
-    question.isOperator = role == "operator";
+    requestBody.isOperator = role == "operator";
     if (role != "team" && role != "operator")
         body.refuse("role is \"" + role + "\"; allowed: team, operator");
-    if (!question.isOperator && question.team.empty())
+    if (!requestBody.isOperator && requestBody.team.empty())
         body.refuse("team is missing: name the team that the key is for");
-    return body.outcome<OperatorRequestBody>(std::move(question));
+    return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
 Result<OperatorRequestBody> parseWithdraw(const HttpRequest &request)
 {
     BodyFields body(request);
-    WithdrawKeyRequest question{body.text("keyId"), body.text("requestId")};
-    return body.outcome<OperatorRequestBody>(std::move(question));
+    WithdrawKeyRequest requestBody{body.text("keyId"), body.text("requestId")};
+    return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
 Result<OperatorRequestBody> parseDrain(const HttpRequest &request)
 {
     BodyFields body(request);
-    DrainTargetRequest question;
-    question.target = body.text("target");
-    question.drain = body.boolean("drain", true);
-    return body.outcome<OperatorRequestBody>(std::move(question));
+    DrainTargetRequest requestBody;
+    requestBody.target = body.text("target");
+    requestBody.drain = body.boolean("drain", true);
+    return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
 Result<OperatorRequestBody> parseEvacuate(const HttpRequest &request)
 {
     BodyFields body(request);
-    EvacuateDomainRequest question;
-    question.failureDomain = body.text("failureDomain");
-    question.evacuate = body.boolean("evacuate", true);
-    return body.outcome<OperatorRequestBody>(std::move(question));
+    EvacuateDomainRequest requestBody;
+    requestBody.failureDomain = body.text("failureDomain");
+    requestBody.evacuate = body.boolean("evacuate", true);
+    return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
-ReplicaMember memberOf(BodyFields &fields)
+ReplicaMember parseMember(BodyFields &fields)
 {
     ReplicaMember member;
     member.instance = fields.text("instance");
@@ -117,7 +117,7 @@
 Result<OperatorRequestBody> parseAddReplica(const HttpRequest &request)
 {
     BodyFields body(request);
-    return body.outcome<OperatorRequestBody>(AddReplicaRequest{memberOf(body)});
+    return body.outcome<OperatorRequestBody>(AddReplicaRequest{parseMember(body)});
 }
 
 Result<OperatorRequestBody> parseRemoveReplica(const HttpRequest &request)
@@ -128,13 +128,13 @@
 
 Result<OperatorRequestBody> parseListJobs(const HttpRequest &request)
 {
-    ListJobsRequest question;
-    BOOST_OUTCOME_TRY(atMost, numberParameter(request, "limit", question.atMost));
+    ListJobsRequest requestBody;
+    BOOST_OUTCOME_TRY(atMost, numberParameter(request, "limit", requestBody.atMost));
     constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
-    question.team = request.parameter("team");
-    question.unfinishedOnly = request.parameter("unfinished") == "true";
-    question.atMost = static_cast<std::uint32_t>(std::min(atMost, most));
-    return OperatorRequestBody(std::move(question));
+    requestBody.team = request.parameter("team");
+    requestBody.unfinishedOnly = request.parameter("unfinished") == "true";
+    requestBody.atMost = static_cast<std::uint32_t>(std::min(atMost, most));
+    return OperatorRequestBody(std::move(requestBody));
 }
 
 Result<OperatorRequestBody> parseExplain(const HttpRequest &request)
@@ -176,12 +176,12 @@
 Result<FormGroupRequest> parseFormGroup(const HttpRequest &request)
 {
     BodyFields body(request);
-    FormGroupRequest question;
+    FormGroupRequest requestBody;
     for (BodyFields &fields : body.list("members"))
-        question.members.push_back(memberOf(fields));
-    if (question.members.empty())
+        requestBody.members.push_back(parseMember(fields));
+    if (requestBody.members.empty())
         body.refuse("members is empty; name one, three or five replicas");
-    return body.outcome<FormGroupRequest>(std::move(question));
+    return body.outcome<FormGroupRequest>(std::move(requestBody));
 }
 
 } // namespace guavavalve
--- a/src/operators/operatorrequestparsing.h
+++ b/src/operators/operatorrequestparsing.h
@@ -11,7 +11,7 @@
 
 struct HttpRequest;
 
-/// One question of the operators' HTTP interface: where it stands and how it is read.
+/// A route of the operators' HTTP interface, with the parser of its requests.
 struct OperatorRoute
 {
     std::string_view method;
@@ -19,10 +19,10 @@
     std::function<Result<OperatorRequestBody>(const HttpRequest &)> parse;
 };
 
-/// Every question but that of forming the group.
+/// All routes whose requests go to the controller.
 const std::vector<OperatorRoute> &operatorRoutes();
 
-/// \errors InvalidArgument, naming the field, what was found and what is allowed.
+/// \errors InvalidArgument, naming the field, its value and what is allowed.
 Result<FormGroupRequest> parseFormGroup(const HttpRequest &request);
 
 } // namespace guavavalve
--- a/src/operators/operatorroutes.cpp
+++ b/src/operators/operatorroutes.cpp
@@ -37,12 +37,12 @@
         reply(errorResponse(identity.error()));
         return;
     }
-    Result<OperatorRequestBody> question = route.parse(request);
-    if (!question) {
-        reply(errorResponse(question.error()));
+    Result<OperatorRequestBody> requestBody = route.parse(request);
+    if (!requestBody) {
+        reply(errorResponse(requestBody.error()));
         return;
     }
-    OperatorRequest asked{identity.value(), std::move(question.value())};
+    OperatorRequest asked{identity.value(), std::move(requestBody.value())};
     options->client->operate(std::move(asked), options->clock() + options->timeout,
                              [reply](Result<OperatorReply> answer) {
                                  reply(answer ? jsonResponse(toJson(answer.value()))
@@ -58,23 +58,23 @@
         return;
     }
     if (!identity.value().isOperator) {
-        reply(errorResponse(failure(ErrorCode::PermissionDenied,
-                                    "forming the group needs the cluster's own secret")));
+        reply(errorResponse(
+            failure(ErrorCode::PermissionDenied, "forming the group requires the cluster secret")));
         return;
     }
-    Result<FormGroupRequest> question = parseFormGroup(request);
-    if (!question) {
-        reply(errorResponse(question.error()));
+    Result<FormGroupRequest> requestBody = parseFormGroup(request);
+    if (!requestBody) {
+        reply(errorResponse(requestBody.error()));
         return;
     }
-    options->form(std::move(question.value()), options->clock() + options->timeout,
+    options->form(std::move(requestBody.value()), options->clock() + options->timeout,
                   [reply](Result<ReplicaStatus> status) {
                       reply(status ? jsonResponse(toJson(status.value()))
                                    : errorResponse(status.error()));
                   });
 }
 
-/// How this instance itself sees the group; it answers when there is no controller, too.
+/// Replies with this instance's own view of the group, also when there is no controller.
 void showOwnStatus(const SharedOptions &options, const HttpRequest &request, const HttpReply &reply)
 {
     const Result<OperatorIdentity> identity = identify(*options, request);
--- a/src/operators/operatorroutes.h
+++ b/src/operators/operatorroutes.h
@@ -13,26 +13,26 @@
 class HttpServer;
 class OperatorClient;
 
-/// What the operators' interface needs of the instance that it runs on.
+/// What the operators' interface needs from the instance that serves it.
 struct OperatorRoutesOptions
 {
     OperatorClient *client = nullptr; ///< must outlive the server
 
-    /// Who holds \a token, the bearer token as it came. \errors Unauthenticated.
+    /// The identity that \a token, the unmodified bearer token, proves. \errors Unauthenticated.
     std::function<Result<OperatorIdentity>(const std::string &token)> identify;
 
-    /// Forms the group, by way of its first member's own log.
+    /// Forms the replica group through the log of its first member, this instance.
     std::function<void(FormGroupRequest request, Instant deadline, Done<ReplicaStatus> done)> form;
 
-    /// How this instance sees its group, for when there is no controller to ask.
+    /// This instance's own view of its replica group, for when no controller is reachable.
     std::function<ReplicaStatus()> ownStatus;
 
     Clock clock = monotonicNow;
-    Milliseconds timeout{10000}; ///< for the controller to answer a question
+    Milliseconds timeout{10000}; ///< for the controller to answer a request
 };
 
-/// Serves everything below /v1/operators/. Each question is sent to the controller; what it may
-/// read and change is settled there.
+/// Serves all paths below /v1/operators/. Requests are forwarded to the controller, which checks
+/// what the operator may read and change.
 void addOperatorRoutes(HttpServer &server, OperatorRoutesOptions options);
 
 } // namespace guavavalve
--- a/src/operators/requestfields.cpp
+++ b/src/operators/requestfields.cpp
@@ -9,7 +9,7 @@
 
 BodyFields::BodyFields(const HttpRequest &request)
     : object(nlohmann::json::parse(request.body, nullptr, false))
-    , fault(std::make_shared<std::optional<Error>>())
+    , firstError(std::make_shared<std::optional<Error>>())
 {
     if (!this->object.is_object()) {
         this->refuse("the body is not a JSON object");
@@ -18,25 +18,25 @@
 }
 
 BodyFields::BodyFields(nlohmann::json value, std::string objectPath,
-                       std::shared_ptr<std::optional<Error>> firstFault)
+                       std::shared_ptr<std::optional<Error>> firstError)
     : object(std::move(value))
     , path(std::move(objectPath))
-    , fault(std::move(firstFault))
+    , firstError(std::move(firstError))
 {}
 
 void BodyFields::refuse(const std::string &message)
 {
-    if (!this->fault->has_value())
-        *this->fault = failure(ErrorCode::InvalidArgument, message);
+    if (!this->firstError->has_value())
+        *this->firstError = failure(ErrorCode::InvalidArgument, message);
 }
 
 void BodyFields::refuseField(const std::string &name, const std::string &allowed)
 {
-    constexpr std::size_t shownBytes = 60;
+    constexpr std::size_t maxQuotedBytes = 60;
     std::string found = "is missing";
     if (const auto field = this->object.find(name); field != this->object.end()) {
         const auto replace = nlohmann::json::error_handler_t::replace;
-        found = "is " + field->dump(-1, ' ', false, replace).substr(0, shownBytes);
+        found = "is " + field->dump(-1, ' ', false, replace).substr(0, maxQuotedBytes);
     }
     this->refuse(this->path + name + " " + found + "; give " + allowed);
 }
@@ -45,30 +45,30 @@
 {
     std::string value = this->text(name, "");
     if (value.empty())
-        this->refuseField(name, "a text that is not empty");
+        this->refuseField(name, "a non-empty string");
     return value;
 }
 
-std::string BodyFields::text(const std::string &name, const std::string &otherwise)
+std::string BodyFields::text(const std::string &name, const std::string &defaultValue)
 {
     const auto field = this->object.find(name);
     if (field == this->object.end())
-        return otherwise;
+        return defaultValue;
     if (field->is_string())
         return field->get<std::string>();
-    this->refuseField(name, "a text");
-    return otherwise;
+    this->refuseField(name, "a string");
+    return defaultValue;
 }
 
-bool BodyFields::boolean(const std::string &name, bool otherwise)
+bool BodyFields::boolean(const std::string &name, bool defaultValue)
 {
     const auto field = this->object.find(name);
     if (field == this->object.end())
-        return otherwise;
+        return defaultValue;
     if (field->is_boolean())
         return field->get<bool>();
     this->refuseField(name, "true or false");
-    return otherwise;
+    return defaultValue;
 }
 
 std::vector<BodyFields> BodyFields::list(const std::string &name)
@@ -76,16 +76,16 @@
     const auto field = this->object.find(name);
     std::vector<BodyFields> result;
     if (field == this->object.end() || !field->is_array()) {
-        this->refuseField(name, "a list of objects");
+        this->refuseField(name, "an array of objects");
         return result;
     }
     for (std::size_t i = 0; i < field->size(); ++i) {
         if (!(*field)[i].is_object()) {
-            this->refuseField(name, "a list of objects");
+            this->refuseField(name, "an array of objects");
             return result;
         }
         const std::string itemPath = this->path + name + "[" + std::to_string(i) + "].";
-        result.push_back(BodyFields((*field)[i], itemPath, this->fault));
+        result.push_back(BodyFields((*field)[i], itemPath, this->firstError));
     }
     return result;
 }
@@ -99,11 +99,11 @@
 }
 
 Result<std::uint64_t> numberParameter(const HttpRequest &request, const std::string &name,
-                                      std::uint64_t otherwise)
+                                      std::uint64_t defaultValue)
 {
     const std::string text = request.parameter(name);
     if (text.empty())
-        return otherwise;
+        return defaultValue;
     std::uint64_t value = 0;
     const char *const textEnd = text.data() + text.size();
     const auto [end, problem] = std::from_chars(text.data(), textEnd, value);
--- a/src/operators/requestfields.h
+++ b/src/operators/requestfields.h
@@ -14,48 +14,50 @@
 
 struct HttpRequest;
 
-/// The fields of a JSON object in a request's body. The first that is wrong is remembered, with
-/// what was found and what is allowed, and ends the request; until then reading goes on.
+/// Reads the fields of the JSON object in a request's body. The first invalid field is recorded
+/// with its value and what is allowed, and outcome() returns that error; reading continues with
+/// default values until then.
 class BodyFields
 {
 public:
     explicit BodyFields(const HttpRequest &request);
 
-    /// A text that is not empty.
+    /// A string that must be present and not empty.
     std::string text(const std::string &name);
-    std::string text(const std::string &name, const std::string &otherwise);
-    bool boolean(const std::string &name, bool otherwise);
+    std::string text(const std::string &name, const std::string &defaultValue);
+    bool boolean(const std::string &name, bool defaultValue);
 
-    /// The objects of a list; their faults are this object's.
+    /// The objects of an array. Errors in them are recorded here.
     std::vector<BodyFields> list(const std::string &name);
 
-    /// \a value, or the first fault.
+    /// \a value, or the first error if there is one.
     template<typename Outcome, typename T>
     Result<Outcome> outcome(T value) const
     {
-        if (this->fault->has_value())
-            return **this->fault;
+        if (this->firstError->has_value())
+            return **this->firstError;
         return Outcome(std::move(value));
     }
 
+    /// Records \a message as the error, unless there is one already.
     void refuse(const std::string &message);
 
 private:
     BodyFields(nlohmann::json value, std::string objectPath,
-               std::shared_ptr<std::optional<Error>> firstFault);
+               std::shared_ptr<std::optional<Error>> firstError);
     void refuseField(const std::string &name, const std::string &allowed);
 
     nlohmann::json object;
-    std::string path; ///< of this object in the request, for errors
-    std::shared_ptr<std::optional<Error>> fault;
+    std::string path; ///< of this object in the body, for error messages
+    std::shared_ptr<std::optional<Error>> firstError;
 };
 
 /// The value of query parameter \a name. \errors InvalidArgument if it is missing.
 Result<std::string> requiredParameter(const HttpRequest &request, const std::string &name);
 
-/// The whole number that query parameter \a name holds, or \a otherwise if it is missing.
-/// \errors InvalidArgument if it is anything else.
+/// The value of query parameter \a name as an unsigned integer, or \a defaultValue if it is
+/// missing. \errors InvalidArgument if it is not an unsigned integer.
 Result<std::uint64_t> numberParameter(const HttpRequest &request, const std::string &name,
-                                      std::uint64_t otherwise);
+                                      std::uint64_t defaultValue);
 
 } // namespace guavavalve
--- a/src/targets/announcementjson.cpp
+++ b/src/targets/announcementjson.cpp
@@ -102,7 +102,7 @@
     return object;
 }
 
-/// Reads the texts, and after them the rest; the first wrong field ends it.
+/// Reads the string fields; returns the first error.
 Result<void> readTexts(const json &document, Announcement &announcement)
 {
     struct Field
--- a/src/targets/announcementjson.h
+++ b/src/targets/announcementjson.h
@@ -8,19 +8,19 @@
 
 namespace guavavalve {
 
-/// The announcement that a target sent as JSON (docs/targets.md).
-/// \errors InvalidArgument with the field, what was found and what is allowed.
+/// Parses an announcement that a target sent as JSON (docs/targets.md).
+/// \errors InvalidArgument, naming the field and what is allowed.
 Result<Announcement> parseAnnouncement(const std::string &json);
 
 std::string announcementJson(const Announcement &announcement);
 
-/// \errors InvalidArgument, as above.
+/// \errors As for parseAnnouncement().
 Result<AnnouncementReply> parseAnnouncementReply(const std::string &json);
 
 std::string announcementReplyJson(const AnnouncementReply &reply);
 
-/// "TASK/ATTEMPT" as an identity.
-/// \errors InvalidArgument if it is something else.
+/// Parses "TASK/ATTEMPT", the inverse of attemptName().
+/// \errors InvalidArgument if \a name does not have that form.
 Result<AttemptId> parseAttemptName(std::string_view name);
 
 } // namespace guavavalve
--- a/src/targets/announcementlistener.cpp
+++ b/src/targets/announcementlistener.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Milliseconds comeBack{500};
+constexpr Milliseconds retryAfterDelay{500};
 
 struct Waiting
 {
@@ -38,7 +38,9 @@
         return;
     }
     if (result.value().size() != replies.size()) {
-        refuse(replies, failure(ErrorCode::Internal, "the controller's replies do not match"));
+        refuse(replies,
+               failure(ErrorCode::Internal,
+                       "the controller's replies do not match the announcements in number"));
         return;
     }
     for (std::size_t i = 0; i < replies.size(); ++i) {
@@ -63,7 +65,7 @@
     AnnouncementListenerOptions options;
     std::mutex mutex;
     std::vector<Waiting> batch;
-    std::size_t underWay = 0; ///< passed on and not yet answered
+    std::size_t inFlight = 0; ///< announcements forwarded and not yet answered
 
     void take(const HttpRequest &request, const HttpReply &reply);
     void flush();
@@ -81,7 +83,7 @@
     bool full = false;
     {
         const std::lock_guard lock(this->mutex);
-        refused = this->batch.size() + this->underWay >= this->options.maxWaiting;
+        refused = this->batch.size() + this->inFlight >= this->options.maxWaiting;
         if (!refused) {
             first = this->batch.empty();
             this->batch.push_back({std::move(parsed).value(), reply});
@@ -89,8 +91,9 @@
         }
     }
     if (refused) {
-        Error error = failure(ErrorCode::Unavailable, "too many announcements are waiting");
-        error.retryAfter = comeBack;
+        Error error = failure(ErrorCode::Unavailable,
+                              "too many announcements are waiting for the controller");
+        error.retryAfter = retryAfterDelay;
         reply(errorResponse(error));
     } else if (full) {
         this->flush();
@@ -102,17 +105,17 @@
 
 void AnnouncementListener::Private::flush()
 {
-    std::vector<Waiting> taken;
+    std::vector<Waiting> pending;
     {
         const std::lock_guard lock(this->mutex);
-        taken.swap(this->batch);
-        this->underWay += taken.size();
+        pending.swap(this->batch);
+        this->inFlight += pending.size();
     }
-    if (taken.empty())
+    if (pending.empty())
         return;
     std::vector<Announcement> announcements;
     std::vector<HttpReply> replies;
-    for (Waiting &waiting : taken) {
+    for (Waiting &waiting : pending) {
         announcements.push_back(std::move(waiting.announcement));
         replies.push_back(std::move(waiting.reply));
     }
@@ -122,7 +125,7 @@
         [self, replies](const Result<std::vector<AnnouncementReply>> &result) {
             {
                 const std::lock_guard lock(self->mutex);
-                self->underWay -= replies.size();
+                self->inFlight -= replies.size();
             }
             answer(replies, result);
         });
--- a/src/targets/announcementlistener.h
+++ b/src/targets/announcementlistener.h
@@ -13,18 +13,18 @@
 
 struct AnnouncementListenerOptions
 {
-    Microseconds batchDelay{5000}; ///< how long the first of a batch waits for others
+    Microseconds batchDelay{5000}; ///< time that the first announcement of a batch waits for more
     std::size_t maxBatch = 256;
-    std::size_t maxWaiting = 4096; ///< further announcements are refused
+    std::size_t maxWaiting = 4096; ///< unanswered announcements, beyond which more are refused
     Milliseconds replyTimeout{2000}; ///< for the controller's reply
 };
 
-/// Takes targets' announcements over HTTP and passes them on to the controller in batches: the
-/// lease comes from the controller alone.
+/// Receives targets' announcements over HTTP and forwards them to the controller in batches. Only
+/// the controller grants leases.
 class AnnouncementListener
 {
 public:
-    /// Registers its route with \a server; all three outlive this and its last reply.
+    /// Registers its route with \a server. All three must outlive this object and its last reply.
     AnnouncementListener(HttpServer &server, ControllerClient &controller, TimerQueue &timers,
                          AnnouncementListenerOptions options);
     ~AnnouncementListener();
--- a/src/targets/attemptreport.h
+++ b/src/targets/attemptreport.h
@@ -6,12 +6,12 @@
 
 namespace guavavalve {
 
-/// What a target says of one attempt.
+/// A target's report on one attempt.
 struct AttemptReport
 {
-    bool ended = false; ///< false: it is still running
-    AttemptOutcome outcome = AttemptOutcome::Failed; ///< once ended
-    std::string answer; ///< whole: length and digest have been checked; of a failure, its message
+    bool ended = false; ///< false while the attempt is running
+    AttemptOutcome outcome = AttemptOutcome::Failed; ///< valid once ended
+    std::string answer; ///< complete, checked by length and digest; a message if it failed
     std::string answerDigest;
 };
 
--- a/src/targets/backoff.h
+++ b/src/targets/backoff.h
@@ -7,8 +7,8 @@
 
 namespace guavavalve::internal {
 
-/// Exponential backoff with full-range jitter (half to one and a half of each step), so that
-/// many that failed together do not come back together.
+/// Exponential backoff with jitter (each delay is 0.5 to 1.5 times its step), so that callers that
+/// failed at the same time do not all retry at the same time.
 class Backoff
 {
 public:
--- a/src/targets/dispatcher.cpp
+++ b/src/targets/dispatcher.cpp
@@ -19,8 +19,8 @@
 using internal::FollowedAttempt;
 
 constexpr std::size_t shardCount = 16;
-/// Ended attempts that each shard remembers, so that an order that arrives again is known.
-constexpr std::size_t rememberedEnds = 4096;
+/// Ended attempts that each shard remembers, so that a resent order is recognised.
+constexpr std::size_t maxRememberedEnds = 4096;
 
 using AttemptKey = std::pair<TaskId, AttemptNumber>;
 
@@ -30,17 +30,17 @@
     std::unordered_map<TaskId, std::shared_ptr<FollowedAttempt>> following;
     std::unordered_map<TaskId, std::map<std::uint64_t, Dispatcher::EndListener>> listeners;
     std::set<AttemptKey> ended;
-    std::deque<AttemptKey> endedInOrder;
-    std::uint64_t lastListening = 0;
+    std::deque<AttemptKey> endedByAge;
+    std::uint64_t lastListenerId = 0;
 
     void remember(const AttemptKey &key)
     {
         if (!this->ended.insert(key).second)
             return;
-        this->endedInOrder.push_back(key);
-        if (this->endedInOrder.size() > rememberedEnds) {
-            this->ended.erase(this->endedInOrder.front());
-            this->endedInOrder.pop_front();
+        this->endedByAge.push_back(key);
+        if (this->endedByAge.size() > maxRememberedEnds) {
+            this->ended.erase(this->endedByAge.front());
+            this->endedByAge.pop_front();
         }
     }
 };
@@ -62,7 +62,8 @@
     void ended(const EndedAttempt &attempt);
 };
 
-/// The attempt of \a order, new or known; null if it has ended or a later one has taken its place.
+/// The followed attempt of \a order, created if needed; null if it has ended or a later attempt of
+/// the task is already followed.
 std::shared_ptr<FollowedAttempt> Dispatcher::Private::take(DispatchOrder order, bool &isNew)
 {
     Shard &shard = this->shardOf(order.task);
@@ -75,8 +76,7 @@
     if (slot && slot->attempt().attempt > order.attempt)
         return nullptr;
     if (slot) {
-        // The controller has placed the task again, which it does only once the old place is
-        // known to be over.
+        // The controller places a task again only once it knows that the earlier attempt is over.
         slot->drop();
         shard.remember({order.task, slot->attempt().attempt});
         ++this->context->superseded;
@@ -98,8 +98,8 @@
         return;
     switch (action) {
     case DispatchAction::Start:
-        // Only the first order for an attempt sends its start; one that arrives again, or after
-        // a question or a stop, must not: the target may have begun it.
+        // Only the first order for an attempt sends its start request. A resent order, or one that
+        // follows a query or a stop, must not: the target may have started the attempt already.
         if (isNew)
             attempt->start();
         return;
@@ -132,13 +132,13 @@
         const auto found = shard.following.find(end.task);
         if (found != shard.following.end() && found->second->attempt().attempt == end.attempt)
             shard.following.erase(found);
-        const auto listening = shard.listeners.find(end.task);
-        if (listening != shard.listeners.end()) {
-            listeners = std::move(listening->second);
-            shard.listeners.erase(listening);
+        const auto registered = shard.listeners.find(end.task);
+        if (registered != shard.listeners.end()) {
+            listeners = std::move(registered->second);
+            shard.listeners.erase(registered);
         }
     }
-    for (const auto &[listening, listener] : listeners)
+    for (const auto &[listenerId, listener] : listeners)
         listener(attempt);
 }
 
@@ -171,19 +171,19 @@
 {
     Shard &shard = this->d->shardOf(task);
     const std::lock_guard lock(shard.mutex);
-    const std::uint64_t listening = ++shard.lastListening;
-    shard.listeners[task][listening] = std::move(listener);
-    return listening;
+    const std::uint64_t listenerId = ++shard.lastListenerId;
+    shard.listeners[task][listenerId] = std::move(listener);
+    return listenerId;
 }
 
-void Dispatcher::stopListening(TaskId task, std::uint64_t listening)
+void Dispatcher::stopListening(TaskId task, std::uint64_t listenerId)
 {
     Shard &shard = this->d->shardOf(task);
     const std::lock_guard lock(shard.mutex);
     const auto found = shard.listeners.find(task);
     if (found == shard.listeners.end())
         return;
-    found->second.erase(listening);
+    found->second.erase(listenerId);
     if (found->second.empty())
         shard.listeners.erase(found);
 }
--- a/src/targets/dispatcher.h
+++ b/src/targets/dispatcher.h
@@ -20,18 +20,19 @@
 
 struct DispatcherOptions
 {
-    Milliseconds firstWait{1000}; ///< of the start and the first question; doubles from there
-    Milliseconds longestWait{16000};
-    Milliseconds firstBackoff{50}; ///< after an error; doubles from there, with jitter
-    Milliseconds longestBackoff{2000};
-    Milliseconds reportTimeout{3000}; ///< of one report to the controller
-    Milliseconds longestFollow{3600 * 1000}; ///< of a target that does not answer at all
+    Milliseconds initialWait{
+        1000}; ///< requested of the target by the first call; doubles with each one
+    Milliseconds maxWait{16000};
+    Milliseconds initialBackoff{50}; ///< after an error; doubles each time, with jitter
+    Milliseconds maxBackoff{2000};
+    Milliseconds reportTimeout{3000}; ///< for one report to the controller
+    Milliseconds maxUnresponsiveTime{3600 * 1000}; ///< after which a target is given up
 };
 
 struct DispatcherCounters
 {
-    std::size_t following = 0; ///< attempts whose end is not yet committed
-    std::size_t started = 0; ///< starts sent
+    std::size_t following = 0; ///< attempts whose end has not been committed yet
+    std::size_t started = 0; ///< start requests sent
     std::size_t succeeded = 0;
     std::size_t failed = 0;
     std::size_t neverStarted = 0;
@@ -40,29 +41,29 @@
     std::size_t reportRetries = 0;
 };
 
-/// Carries out the controller's orders: sends starts to targets, learns how attempts end, and
-/// has each end committed before anyone is told.
+/// Executes the controller's orders: sends start requests to targets, finds out how attempts end,
+/// and has each end committed before it notifies listeners.
 ///
-/// A start is sent at most once for each attempt, whatever happens to it; from then on the target
-/// is only asked. An attempt of which it is not certain that it began is proved by the target
-/// itself, which refuses it for ever: a connection error alone is never taken for "not run".
+/// A start request is sent at most once per attempt, even if it fails; after it the target is only
+/// queried. A connection error alone never counts as "not run". When it is uncertain whether an
+/// attempt started, only the target can settle it, by refusing that attempt permanently.
 class Dispatcher : public DispatchHandler
 {
 public:
     using EndListener = std::function<void(const EndedAttempt &)>;
 
-    /// All three outlive this and the calls that it has under way.
+    /// All three must outlive this object and its outstanding calls.
     Dispatcher(ControllerClient &controller, TargetClient &targets, TimerQueue &timers,
                DispatcherOptions options);
     ~Dispatcher() override;
 
     void dispatch(std::vector<DispatchOrder> orders) override;
 
-    /// Has \a listener called once when an attempt of \a task that is followed here has ended.
-    /// Several may listen.
-    /// Returns what stopListening() takes.
+    /// Calls \a listener once, when an attempt of \a task that this dispatcher follows has ended.
+    /// A task may have several listeners.
+    /// Returns the identifier to pass to stopListening().
     std::uint64_t listen(TaskId task, EndListener listener);
-    void stopListening(TaskId task, std::uint64_t listening);
+    void stopListening(TaskId task, std::uint64_t listenerId);
 
     DispatcherCounters counters() const;
 
--- a/src/targets/endedattempt.h
+++ b/src/targets/endedattempt.h
@@ -7,14 +7,15 @@
 
 namespace guavavalve {
 
-/// An attempt that a Dispatcher followed to its end.
+/// How an attempt ended that a Dispatcher followed.
 struct EndedAttempt
 {
     AttemptEnd end;
-    /// False: the end was superseded, and the controller knows what holds instead.
+    /// False if the end was superseded or the attempt given up; the controller then decides its
+    /// outcome.
     bool committed = false;
-    Instant followedFrom; ///< when its start was sent here, or its first question
-    std::string answer; ///< whole, of an attempt that succeeded
+    Instant followedFrom; ///< when this dispatcher sent its start or first query
+    std::string answer; ///< complete, if the attempt succeeded
 };
 
 } // namespace guavavalve
--- a/src/targets/followedattempt.cpp
+++ b/src/targets/followedattempt.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// So often an answer that is not whole is asked for again; the target keeps it.
+/// Incomplete answers after which an attempt counts as failed. Until then the query is repeated,
+/// because the target still stores the answer.
 constexpr int maxIncompleteAnswers = 3;
 
 bool isSuperseded(ErrorCode code)
@@ -26,10 +27,10 @@
                                  Ended ended)
     : context(std::move(context))
     , order(std::move(order))
-    , tellEnded(std::move(ended))
-    , giveUpAt(monotonicNow() + this->context->options.longestFollow)
-    , waitMs(this->context->options.firstWait.count())
-    , backoff(this->context->options.firstBackoff, this->context->options.longestBackoff)
+    , onEnded(std::move(ended))
+    , giveUpDeadline(monotonicNow() + this->context->options.maxUnresponsiveTime)
+    , waitMs(this->context->options.initialWait.count())
+    , backoff(this->context->options.initialBackoff, this->context->options.maxBackoff)
 {
     this->outcome.end.task = this->order.task;
     this->outcome.end.attempt = this->order.attempt;
@@ -44,7 +45,7 @@
     this->context->targets.start(
         this->order, this->nextWait(),
         [self](const Result<AttemptReport> &report) { self->asked(report); });
-    // The target has it or never will: what is sent from here on only asks.
+    // The start request is never sent again, so the payload is no longer needed.
     this->order.payload.clear();
     this->order.payload.shrink_to_fit();
 }
@@ -59,7 +60,7 @@
 {
     if (this->order.finishWithinMs <= 0)
         return;
-    // Held weakly: most attempts end long before their deadline.
+    // A weak reference, since most attempts end long before their deadline.
     this->context->timers.runAfter(Milliseconds(this->order.finishWithinMs),
                                    [weak = this->weak_from_this()] {
                                        if (auto self = weak.lock())
@@ -69,7 +70,7 @@
 
 void FollowedAttempt::stop()
 {
-    if (!this->stopWanted.exchange(true))
+    if (!this->stopRequested.exchange(true))
         this->requestStop();
 }
 
@@ -98,13 +99,13 @@
 
 bool FollowedAttempt::isOver() const
 {
-    return this->dropped || this->learned;
+    return this->dropped || this->outcomeKnown;
 }
 
 Milliseconds FollowedAttempt::nextWait()
 {
     const std::int64_t wait = this->waitMs;
-    this->waitMs = std::min(wait * 2, this->context->options.longestWait.count());
+    this->waitMs = std::min(wait * 2, this->context->options.maxWait.count());
     return Milliseconds(wait);
 }
 
@@ -131,20 +132,20 @@
         return;
     }
     if (report.error().code == ErrorCode::NotFound) {
-        // A start may still be under way, in a connection or in a frozen entry that wakes later.
-        // "Unknown" would then be true now and false in a moment; so the target first promises
-        // never to start it, and only its promise is reported.
+        // A start request may still be in flight, on a connection or in a suspended entry that
+        // resumes later, so the target might yet start the attempt. It therefore has to promise
+        // never to start it, and only that promise is reported.
         this->stop();
         return;
     }
     ++this->context->targetErrors;
     if (report.error().code == ErrorCode::IncompleteAnswer
         && ++this->incompleteAnswers >= maxIncompleteAnswers) {
-        AttemptReport broken;
-        broken.ended = true;
-        broken.outcome = AttemptOutcome::Failed;
-        broken.answer = report.error().message;
-        this->ended(broken);
+        AttemptReport incomplete;
+        incomplete.ended = true;
+        incomplete.outcome = AttemptOutcome::Failed;
+        incomplete.answer = report.error().message;
+        this->ended(incomplete);
         return;
     }
     this->retry(&FollowedAttempt::ask);
@@ -152,7 +153,7 @@
 
 void FollowedAttempt::targetAnswered()
 {
-    this->giveUpAt = monotonicNow() + this->context->options.longestFollow;
+    this->giveUpDeadline = monotonicNow() + this->context->options.maxUnresponsiveTime;
     const std::lock_guard lock(this->mutex);
     this->backoff.reset();
 }
@@ -182,11 +183,11 @@
 
 void FollowedAttempt::retry(void (FollowedAttempt::*step)())
 {
-    if (monotonicNow() > this->giveUpAt.load()) {
-        // The controller has long held the target's lease for lapsed.
+    if (monotonicNow() > this->giveUpDeadline.load()) {
+        // By now the target's lease has long expired at the controller.
         this->drop();
         ++this->context->superseded;
-        this->tellEnded(this->outcome);
+        this->onEnded(this->outcome);
         return;
     }
     Microseconds delay{0};
@@ -200,7 +201,7 @@
 
 void FollowedAttempt::ended(const AttemptReport &report)
 {
-    if (this->learned.exchange(true))
+    if (this->outcomeKnown.exchange(true))
         return;
     this->outcome.end.outcome = report.outcome;
     if (report.outcome == AttemptOutcome::Succeeded) {
@@ -243,7 +244,7 @@
         ++this->context->failed;
     this->dropped = true;
     this->outcome.committed = result.has_value();
-    this->tellEnded(this->outcome);
+    this->onEnded(this->outcome);
 }
 
 } // namespace guavavalve::internal
--- a/src/targets/followedattempt.h
+++ b/src/targets/followedattempt.h
@@ -22,7 +22,7 @@
 
 namespace guavavalve::internal {
 
-/// What the attempts of one Dispatcher share.
+/// State that the attempts of one Dispatcher share.
 struct DispatchContext
 {
     ControllerClient &controller;
@@ -39,29 +39,29 @@
     std::atomic<std::size_t> reportRetries{0};
 };
 
-/// One attempt from its order to the commit of its end.
+/// Follows one attempt from its order until its end has been committed.
 ///
-/// Any number of questions and stops may be under way; the first end that one of them learns is
-/// reported, and only that.
+/// Any number of queries and stops may be outstanding. Only the first end that one of them returns
+/// is reported to the controller.
 class FollowedAttempt : public std::enable_shared_from_this<FollowedAttempt>
 {
 public:
-    /// Told once, with the end as committed or superseded.
+    /// Called once, when the end has been committed or superseded or the attempt given up.
     using Ended = std::function<void(const EndedAttempt &)>;
 
     FollowedAttempt(std::shared_ptr<DispatchContext> context, DispatchOrder order, Ended ended);
 
     const DispatchOrder &attempt() const { return this->order; }
 
-    /// Sends the start. Called once at most for an attempt.
+    /// Sends the start request. Must be called at most once.
     void start();
-    /// Asks until it has ended.
+    /// Queries the target until the attempt has ended.
     void follow();
-    /// Has it ended, or refused for ever.
+    /// Has the target end the attempt, or refuse it permanently if it has not started.
     void stop();
     void throttle();
     void checkpoint();
-    /// Nothing more is sent or reported: a later attempt has taken its place.
+    /// Sends and reports nothing more, for example because a later attempt has replaced this one.
     void drop();
 
 private:
@@ -80,16 +80,16 @@
 
     std::shared_ptr<DispatchContext> context;
     DispatchOrder order;
-    Ended tellEnded;
-    std::atomic<Instant> giveUpAt; ///< unless the target answers meanwhile
+    Ended onEnded;
+    std::atomic<Instant> giveUpDeadline; ///< postponed whenever the target answers a query
     std::atomic<std::int64_t> waitMs;
-    std::atomic<bool> learned{false}; ///< its end is known here
+    std::atomic<bool> outcomeKnown{false}; ///< its end is known
     std::atomic<bool> dropped{false};
-    std::atomic<bool> stopWanted{false};
+    std::atomic<bool> stopRequested{false};
     std::atomic<int> incompleteAnswers{0};
     std::mutex mutex;
     Backoff backoff; ///< guarded by mutex
-    EndedAttempt outcome; ///< written once, by whoever set learned
+    EndedAttempt outcome; ///< its end is written once, by the thread that set outcomeKnown
 };
 
 } // namespace guavavalve::internal
--- a/src/targets/httptargetclient.cpp
+++ b/src/targets/httptargetclient.cpp
@@ -21,7 +21,7 @@
 using web::http::client::http_client;
 using web::http::client::http_client_config;
 
-/// Only a backstop: each call has a deadline of its own.
+/// Only a fallback: each call has its own, shorter deadline.
 constexpr std::chrono::seconds libraryTimeout{120};
 
 enum HttpStatus : int { Ok = 200, Accepted = 202, NotFound = 404, Conflict = 409 };
@@ -39,8 +39,8 @@
     return found == response.headers().end() ? std::string() : found->second;
 }
 
-/// The report in \a response, whose body is \a body. A target that answers for another attempt,
-/// in part, or with other bytes than it digested shows here, and its answer goes no further.
+/// The report in \a response, whose body is \a body. Rejects an answer that is about another
+/// attempt, is incomplete or does not match its digest.
 Result<AttemptReport> readReport(const http_response &response, AttemptId attempt, std::string body)
 {
     if (headerOf(response, attemptHeader) != attemptName(attempt))
@@ -63,12 +63,12 @@
         && headerOf(response, answerDigestHeader) == report.answerDigest;
     if (*outcome == AttemptOutcome::Succeeded && !whole)
         return unknownFailure(ErrorCode::IncompleteAnswer,
-                              "the answer does not have the length and digest announced");
+                              "the answer does not match the length and digest in its headers");
     report.answer = std::move(body);
     return report;
 }
 
-/// One request to a target: ends once, by its reply, its failure or its deadline.
+/// One request to a target. Ends once: with a reply, an error or a timeout.
 struct Call
 {
     AttemptId attempt;
@@ -117,7 +117,7 @@
     std::atomic<std::size_t> replaced{0};
 
     std::shared_ptr<http_client> pool(const std::string &address);
-    void replacePool(const std::string &address, const std::shared_ptr<http_client> &silent);
+    void replacePool(const std::string &address, const std::shared_ptr<http_client> &unresponsive);
     void call(const std::string &address, AttemptId attempt, const http_request &request,
               Milliseconds wait, Done<AttemptReport> done);
     void receive(const std::shared_ptr<Call> &call, const http_response &response) const;
@@ -136,12 +136,12 @@
 }
 
 void HttpTargetClient::Private::replacePool(const std::string &address,
-                                            const std::shared_ptr<http_client> &silent)
+                                            const std::shared_ptr<http_client> &unresponsive)
 {
     const std::lock_guard lock(this->mutex);
     const auto found = this->pools.find(address);
     // Another call that timed out on the same pool may have replaced it already.
-    if (found == this->pools.end() || found->second != silent)
+    if (found == this->pools.end() || found->second != unresponsive)
         return;
     this->pools.erase(found);
     ++this->replaced;
@@ -158,7 +158,7 @@
     try {
         client = this->pool(address);
     } catch (const std::exception &) {
-        call->end(unknownFailure(ErrorCode::InvalidArgument, "not an address: " + address));
+        call->end(unknownFailure(ErrorCode::InvalidArgument, "invalid target address: " + address));
         return;
     }
     auto self = this->shared_from_this();
@@ -166,7 +166,8 @@
         if (call->ended)
             return;
         self->replacePool(address, client);
-        if (call->end(unknownFailure(ErrorCode::DeadlineExceeded, "the target went silent")))
+        if (call->end(
+                unknownFailure(ErrorCode::DeadlineExceeded, "the target did not reply in time")))
             call->cancellation.cancel();
     });
     client->request(request, call->cancellation.get_token())
@@ -184,7 +185,7 @@
 {
     if (response.headers().content_length() > this->options.maxAnswerBytes) {
         call->end(unknownFailure(ErrorCode::IncompleteAnswer,
-                                 "the answer is over "
+                                 "the answer is longer than "
                                      + std::to_string(this->options.maxAnswerBytes) + " bytes"));
         return;
     }
--- a/src/targets/httptargetclient.h
+++ b/src/targets/httptargetclient.h
@@ -11,20 +11,20 @@
 
 struct HttpTargetClientOptions
 {
-    /// Beyond the wait that was asked for: how long a reply may take before its connection is
-    /// held for silent.
+    /// How long a reply may take beyond the requested wait before the connection counts as
+    /// unresponsive.
     Milliseconds replySlack{2000};
     std::size_t maxAnswerBytes = 64U << 20U;
 };
 
-/// TargetClient over HTTP (cpprestsdk), with one pool of connections for each target.
+/// TargetClient over HTTP (cpprestsdk), with one connection pool per target.
 ///
-/// After a timeout the whole pool of that target is replaced: when something between the two
-/// ends has lost track of one connection, its idle siblings may be as dead.
+/// After a timeout the target's whole pool is replaced: if a device on the network path has lost
+/// the state of one connection, the idle ones in the pool may be dead as well.
 class HttpTargetClient : public TargetClient
 {
 public:
-    /// \a timers outlives this.
+    /// \a timers must outlive this object.
     HttpTargetClient(TimerQueue &timers, HttpTargetClientOptions options);
     ~HttpTargetClient() override;
 
@@ -37,7 +37,7 @@
     void checkpoint(const std::string &address, AttemptId attempt,
                     Done<AttemptReport> done) override;
 
-    /// How many pools have been replaced since the start.
+    /// Number of pools replaced so far.
     std::size_t poolsReplaced() const;
 
 private:
--- a/src/targets/targetcontract.h
+++ b/src/targets/targetcontract.h
@@ -9,12 +9,13 @@
 namespace guavavalve {
 
 /// \file
-/// Names of the target contract (docs/targets.md), shared with what keeps the other side of it.
+/// Paths, headers and formats of the target contract (docs/targets.md), shared with
+/// implementations of the target side.
 
 inline constexpr std::string_view outcomeHeader = "Guavavalve-Outcome";
 inline constexpr std::string_view answerLengthHeader = "Guavavalve-Answer-Length";
 inline constexpr std::string_view answerDigestHeader = "Guavavalve-Answer-Digest";
-/// Which attempt a reply speaks of: "TASK/ATTEMPT".
+/// The attempt that a reply is about: "TASK/ATTEMPT".
 inline constexpr std::string_view attemptHeader = "Guavavalve-Attempt";
 
 inline constexpr std::string_view attemptsPath = "/v1/attempts";
--- a/test/callers/callerservicetest.cpp
+++ b/test/callers/callerservicetest.cpp
@@ -33,7 +33,7 @@
     return CallerIdentity{"key-1", "mill"};
 }
 
-/// An entry with one target, whose controller accepts everything and has it sent from here.
+/// An entry with one target. Its controller accepts every job and orders this entry to send it.
 struct Entry
 {
     explicit Entry(CallerServiceOptions options = {})
@@ -108,7 +108,7 @@
 
 } // namespace
 
-TEST_CASE("a waiting caller gets the whole answer to its own request", "[callers]")
+TEST_CASE("a waiting caller receives the complete answer to its own request", "[callers]")
 {
     Entry entry;
     const HttpAnswer answer =
@@ -135,7 +135,7 @@
     CHECK(entry.controller.submitted.empty());
 }
 
-TEST_CASE("the headers of a job arrive as its request", "[callers]")
+TEST_CASE("the headers of a submission are parsed into the submit request", "[callers]")
 {
     Entry entry;
     const Headers headers{{"Idempotency-Key", "order-17"},
@@ -167,7 +167,8 @@
     CHECK(submitDigest(other) != request.digest);
 }
 
-TEST_CASE("a malformed header is refused by name and nothing is submitted", "[callers]")
+TEST_CASE("a malformed header is refused with an error that names it, and nothing is submitted",
+          "[callers]")
 {
     Entry entry;
     const auto [header, value] = GENERATE(
@@ -187,10 +188,11 @@
     CHECK(entry.controller.submitted.empty());
 }
 
-TEST_CASE("a request that joins another one gets that one's whole answer", "[callers]")
+TEST_CASE("a request that joins another one receives the complete answer of that one", "[callers]")
 {
-    // A caller lost its answer and resends through another entry. That entry sends nothing; it
-    // learns of the end from the controller, and asks the target that keeps the answer.
+    // A caller lost the connection before its answer arrived and resends through another entry.
+    // That entry must not send the task again: it learns from the controller that the job has
+    // finished, and fetches the answer from the target that stores it.
     Entry entry;
     const SubmitReply first = entry.accept({});
     std::atomic<bool> ended{false};
@@ -218,10 +220,10 @@
     CHECK(entry.dispatcher.counters().started == 0);
 }
 
-TEST_CASE("an answer other than the committed one is never given", "[callers]")
+TEST_CASE("an answer other than the committed one is never returned", "[callers]")
 {
-    // The address of a target that is gone now belongs to another, which knows an attempt of the
-    // same name. Its answer does not have the digest that was committed.
+    // A new target has taken over the address of one that is gone, and knows an attempt of the same
+    // name. Its answer does not have the digest that was committed.
     Entry entry;
     std::atomic<bool> ended{false};
     entry.client.start(entry.accept({}).dispatches[0], Milliseconds(1000),
@@ -239,7 +241,7 @@
     CHECK(bodyOf(answer)["ran"] == "yes");
 }
 
-TEST_CASE("every failure of a job says whether it ran", "[callers]")
+TEST_CASE("every failed job reports whether it ran", "[callers]")
 {
     struct Case
     {
@@ -271,7 +273,7 @@
     CHECK((answer.headers.count("Retry-After") == 1) == (given.status == 503));
 }
 
-TEST_CASE("a refusal of the controller reaches the caller with when to come back", "[callers]")
+TEST_CASE("a controller's refusal reaches the caller with its retry delay", "[callers]")
 {
     Entry entry;
     entry.controller.onSubmit = [](const SubmitRequest &) -> Result<SubmitReply> {
@@ -286,9 +288,10 @@
     CHECK(entry.service->counters().refused == 1);
 }
 
-TEST_CASE("a caller whose wait ends first is told that nobody knows yet", "[callers]")
+TEST_CASE("a caller whose wait ends before the job is told that it is unknown whether the job ran",
+          "[callers]")
 {
-    // The job has been accepted and waits. To say "not run" would be false the moment it starts.
+    // The job has been accepted and is waiting. "ran: no" would become false as soon as it starts.
     Entry entry;
     entry.controller.onSubmit = [](const SubmitRequest &) {
         SubmitReply reply;
@@ -307,10 +310,11 @@
     CHECK(answer.headers.at("Guavavalve-Job") == "7");
 }
 
-TEST_CASE("an attempt that failed here may yet succeed elsewhere", "[callers]")
+TEST_CASE("a failed attempt that is retried elsewhere is not reported to the waiting caller",
+          "[callers]")
 {
-    // The first target fails the task and the controller tries another. The waiting caller must
-    // not be told of the first failure.
+    // The attempt on the first target fails and the controller tries another one. The waiting
+    // caller must receive the final result and not the first failure.
     Entry entry;
     std::atomic<int> asked{0};
     REQUIRE(entry.target.control(R"({"failAll": true})"));
@@ -326,7 +330,7 @@
     CHECK(entry.controller.ends[0].outcome == AttemptOutcome::Failed);
 }
 
-TEST_CASE("status and cancel answer with where the job stands", "[callers]")
+TEST_CASE("status and cancel requests return the state of the job", "[callers]")
 {
     Entry entry;
     entry.controller.onStatus = [&](JobId asked, bool) -> Result<JobStatus> {
@@ -345,10 +349,10 @@
     CHECK(bodyOf(entry.call("DELETE", "/v1/jobs/7"))["tasks"][0]["state"] == "cancelled");
 }
 
-TEST_CASE("one key's flood is refused at its own bound", "[callers]")
+TEST_CASE("requests beyond the open-request limit of a key are refused", "[callers]")
 {
-    // A caller opens request after request and waits on each. The entry's room for the others
-    // must not go with it.
+    // A caller opens one waiting request after another. It must not use up the entry's capacity for
+    // other keys.
     CallerServiceOptions options;
     options.maxOpenPerKey = 2;
     Entry entry(options);
--- a/test/operators/operatorfixture.h
+++ b/test/operators/operatorfixture.h
@@ -20,7 +20,8 @@
 
 namespace guavavalve {
 
-/// One replica's state behind the operators' service and routes, with no scheduler or targets.
+/// The operators' service and routes over the state of one replica, without a scheduler or
+/// targets.
 class OperatorFixture
 {
 public:
@@ -46,18 +47,18 @@
     OperatorFixture(const OperatorFixture &) = delete;
     OperatorFixture &operator=(const OperatorFixture &) = delete;
 
-    /// What the question gives when \a who asks it.
-    template<typename Question>
-    Result<typename Question::Reply> ask(const OperatorIdentity &who, Question question)
+    /// The reply to \a requestBody when \a who sends it.
+    template<typename RequestBody>
+    Result<typename RequestBody::Reply> ask(const OperatorIdentity &who, RequestBody requestBody)
     {
-        std::optional<Result<typename Question::Reply>> outcome;
-        guavavalve::ask(this->service, who, std::move(question), Instant::max(),
+        std::optional<Result<typename RequestBody::Reply>> outcome;
+        guavavalve::ask(this->service, who, std::move(requestBody), Instant::max(),
                         [&outcome](auto result) { outcome = std::move(result); });
         REQUIRE(outcome.has_value());
         return std::move(*outcome);
     }
 
-    /// Applies a command that needs no operator.
+    /// Applies a command without an operator identity.
     CommandValue apply(Command command)
     {
         std::optional<Result<CommandValue>> outcome;
@@ -75,7 +76,7 @@
         });
     }
 
-    /// Who holds \a token, as an entry with the newest configuration finds.
+    /// The identity that \a token proves to an entry that has the newest configuration.
     Result<OperatorIdentity> identify(const std::string &token) const
     {
         return identifyOperator(
@@ -86,7 +87,7 @@
     static std::string clusterToken() { return std::string("cluster-secret:") + secret; }
     static OperatorIdentity clusterHolder() { return {OperatorService::clusterKeyId, "", true}; }
 
-    /// Grants an operator's key.
+    /// Grants an operator key and stores its token in operatorToken.
     OperatorIdentity makeOperator()
     {
         const auto granted =
@@ -96,7 +97,7 @@
         return {granted.value().keyId, "", true};
     }
 
-    /// The last operator's key cannot be withdrawn: there has to be another.
+    /// Grants a second operator key, since the last one cannot be withdrawn.
     void grantSpareOperator()
     {
         REQUIRE(this->ask(clusterHolder(), GrantKeyRequest{"", true, "", "spare"}));
--- a/test/targets/announcementtest.cpp
+++ b/test/targets/announcementtest.cpp
@@ -33,7 +33,7 @@
     return announced;
 }
 
-/// Replies with a lease, as long as there are any leases to give.
+/// Grants a lease for each announcement while `leasing` is set, and fails otherwise.
 struct LeasingController : fakes::FakeController
 {
     LeasingController()
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("an announcement keeps every field through JSON", "[announcement]")
+TEST_CASE("an announcement survives a JSON round trip with every field", "[announcement]")
 {
     const Announcement sent = announcement();
     const auto parsed = parseAnnouncement(announcementJson(sent));
@@ -76,7 +76,8 @@
     CHECK(got.revoked.size() == 1);
 }
 
-TEST_CASE("a malformed announcement is refused with its field", "[announcement]")
+TEST_CASE("a malformed announcement is refused with an error that names the field",
+          "[announcement]")
 {
     const auto refusedBy = [](const std::string &json) {
         const auto parsed = parseAnnouncement(json);
@@ -94,11 +95,12 @@
           != std::string::npos);
 }
 
-TEST_CASE("a target whose lease lapses stops its work and refuses what was decided before",
+TEST_CASE("a target whose lease expires stops its work and refuses starts for its old incarnation",
           "[announcement]")
 {
-    // The target is cut off from every entry. Its lease lapses and the controller gives its work
-    // to another. When it is back, an old start must not be taken: it has a new incarnation.
+    // The target cannot reach any entry. Its lease expires and the controller gives its work to
+    // another target. When it returns it has a new incarnation, and must refuse a start that was
+    // sent for the old one.
     TimerQueue timers;
     LeasingController controller;
     controller.leaseMs = 400;
@@ -142,7 +144,7 @@
     CHECK(eventually([&] { return refused.load(); }));
 }
 
-TEST_CASE("announcements that come together reach the controller in one batch", "[announcement]")
+TEST_CASE("announcements that arrive together reach the controller in one batch", "[announcement]")
 {
     TimerQueue timers;
     LeasingController controller;
--- a/test/targets/dispatchertest.cpp
+++ b/test/targets/dispatchertest.cpp
@@ -19,10 +19,10 @@
 
 constexpr TaskId task{7};
 
-/// One target in this process, and a dispatcher with a controller that only records.
-struct Path
+/// A target in this process, and a dispatcher whose controller only records what it is sent.
+struct DispatchFixture
 {
-    explicit Path(int runMs = 0)
+    explicit DispatchFixture(int runMs = 0)
     {
         standin::StandInOptions options;
         options.runMs = runMs;
@@ -33,7 +33,7 @@
         clientOptions.replySlack = Milliseconds(300);
         this->client = std::make_unique<HttpTargetClient>(this->timers, clientOptions);
         DispatcherOptions dispatcherOptions;
-        dispatcherOptions.firstWait = Milliseconds(100);
+        dispatcherOptions.initialWait = Milliseconds(100);
         this->dispatcher = std::make_unique<Dispatcher>(this->controller, *this->client,
                                                         this->timers, dispatcherOptions);
     }
@@ -53,7 +53,7 @@
 
     void control(const std::string &json) const { REQUIRE(this->target->control(json)); }
 
-    bool endsKnown(std::size_t count)
+    bool waitForEnds(std::size_t count)
     {
         return this->controller.waitUntil([&] { return this->controller.ends.size() >= count; });
     }
@@ -74,191 +74,197 @@
 
 } // namespace
 
-TEST_CASE("a started attempt's whole answer is handed on once its end is committed", "[dispatcher]")
+TEST_CASE("a listener gets the complete answer of an attempt once its end is committed",
+          "[dispatcher]")
 {
-    Path path(150);
+    DispatchFixture fixture(150);
     std::atomic<int> heard{0};
     std::string answer;
-    path.dispatcher->listen(task, [&](const EndedAttempt &ended) {
+    fixture.dispatcher->listen(task, [&](const EndedAttempt &ended) {
         answer = ended.answer;
         CHECK(ended.committed);
         ++heard;
     });
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
     REQUIRE(eventually([&] { return heard == 1; }));
     CHECK(answer == "answer to: draw schedule");
-    REQUIRE(path.controller.ends.size() == 1);
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::Succeeded);
-    CHECK(path.controller.ends[0].answerLength == answer.size());
-    CHECK(path.controller.ends[0].answerDigest == answerDigest(answer));
-    CHECK(path.dispatcher->counters().following == 0);
+    REQUIRE(fixture.controller.ends.size() == 1);
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::Succeeded);
+    CHECK(fixture.controller.ends[0].answerLength == answer.size());
+    CHECK(fixture.controller.ends[0].answerDigest == answerDigest(answer));
+    CHECK(fixture.dispatcher->counters().following == 0);
 }
 
-TEST_CASE("an order that arrives again sends no second start", "[dispatcher]")
+TEST_CASE("a resent order sends no second start", "[dispatcher]")
 {
-    // The controller's order is resent, while the first one runs and after it has ended. A second
-    // start would run a confirmation twice wherever the target had forgotten the first.
-    Path path(100);
+    // The controller resends an order while the attempt is running and after it has ended. A second
+    // start would run the task twice if the target no longer knows the first one.
+    DispatchFixture fixture(100);
     for (int i = 0; i < 3; ++i)
-        path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(path.endsKnown(1));
-    REQUIRE(eventually([&] { return path.dispatcher->counters().following == 0; }));
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    CHECK(path.dispatcher->counters().started == 1);
-    CHECK(path.dispatcher->counters().following == 0);
-    CHECK(path.starts() == 1);
+        fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(fixture.waitForEnds(1));
+    REQUIRE(eventually([&] { return fixture.dispatcher->counters().following == 0; }));
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    CHECK(fixture.dispatcher->counters().started == 1);
+    CHECK(fixture.dispatcher->counters().following == 0);
+    CHECK(fixture.starts() == 1);
 }
 
-TEST_CASE("a half or doubled answer is never passed off as whole", "[dispatcher]")
+TEST_CASE("a truncated, duplicated or mismatched answer is never accepted as complete",
+          "[dispatcher]")
 {
-    // A target sends only part of an answer, or sends it twice over, under the length of the
-    // whole. The caller must get the whole one later, or a failure, but never those bytes.
+    // A target sends only half of an answer, or sends it twice, under the length of the complete
+    // one, or replies for another attempt. The caller must get the complete answer later or a
+    // failure, but never those bytes.
     const std::string broken = GENERATE("half", "twice", "wrongAttempt");
-    Path path;
-    path.control("{\"" + broken + "\": true}");
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(eventually([&] { return path.dispatcher->counters().targetErrors >= 1; }));
-    path.control("{\"" + broken + "\": false}");
-    REQUIRE(path.endsKnown(1));
-    const AttemptEnd &end = path.controller.ends[0];
+    DispatchFixture fixture;
+    fixture.control("{\"" + broken + "\": true}");
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(eventually([&] { return fixture.dispatcher->counters().targetErrors >= 1; }));
+    fixture.control("{\"" + broken + "\": false}");
+    REQUIRE(fixture.waitForEnds(1));
+    const AttemptEnd &end = fixture.controller.ends[0];
     if (end.outcome == AttemptOutcome::Succeeded)
         CHECK(end.answerDigest == answerDigest("answer to: draw schedule"));
     else
         CHECK(end.outcome == AttemptOutcome::Failed);
-    CHECK(path.starts() == 1);
+    CHECK(fixture.starts() == 1);
 }
 
-TEST_CASE("a target that keeps answering half ends the attempt as failed", "[dispatcher]")
+TEST_CASE("an attempt whose target keeps sending truncated answers ends as failed", "[dispatcher]")
 {
-    Path path;
-    path.control(R"({"half": true})");
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::Failed);
-    CHECK(path.starts() == 1);
+    DispatchFixture fixture;
+    fixture.control(R"({"half": true})");
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::Failed);
+    CHECK(fixture.starts() == 1);
 }
 
-TEST_CASE("an attempt that its target does not know is refused for ever before it is free",
-          "[dispatcher]")
+TEST_CASE(
+    "an attempt unknown to its target is reported only after the target refuses it permanently",
+    "[dispatcher]")
 {
-    // An entry is frozen between the commit of a placement and its send. Another entry asks about
-    // the attempt, and the task goes elsewhere. Then the first one wakes and sends its start: the
-    // target must refuse it, or the task would run in two places.
-    Path path;
-    path.dispatcher->dispatch({path.order(DispatchAction::Follow)});
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::NeverStarted);
+    // An entry is suspended after a placement has been committed and before it sends the start.
+    // Another entry queries the attempt, and the task is placed elsewhere. Then the first entry
+    // resumes and sends its start: the target must refuse it, or the task would run twice.
+    DispatchFixture fixture;
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Follow)});
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::NeverStarted);
     std::atomic<bool> refused{false};
-    path.client->start(path.order(DispatchAction::Start), Milliseconds(100),
-                       [&](const Result<AttemptReport> &report) {
-                           refused = report && report.value().ended
-                               && report.value().outcome == AttemptOutcome::NeverStarted;
-                       });
+    fixture.client->start(fixture.order(DispatchAction::Start), Milliseconds(100),
+                          [&](const Result<AttemptReport> &report) {
+                              refused = report && report.value().ended
+                                  && report.value().outcome == AttemptOutcome::NeverStarted;
+                          });
     CHECK(eventually([&] { return refused.load(); }));
-    CHECK(path.starts() == 0);
+    CHECK(fixture.starts() == 0);
 }
 
-TEST_CASE("an attempt of an incarnation that is over is lost and not called never started",
+TEST_CASE("an attempt of an earlier incarnation is reported as lost, not as never started",
           "[dispatcher]")
 {
-    // A target restarts while an attempt runs. Its new process knows nothing of it; were that
-    // taken for "never started", a confirmation could run again.
-    Path path;
-    DispatchOrder order = path.order(DispatchAction::Follow);
+    // A target restarts while an attempt is running, and its new process does not know the attempt.
+    // If that counted as "never started", the task could run twice.
+    DispatchFixture fixture;
+    DispatchOrder order = fixture.order(DispatchAction::Follow);
     order.incarnation -= 1;
-    path.dispatcher->dispatch({order});
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::Lost);
+    fixture.dispatcher->dispatch({order});
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::Lost);
 }
 
-TEST_CASE("a start into a silent connection is asked about through a new pool", "[dispatcher]")
+TEST_CASE("after a start on an unresponsive connection, the attempt is queried through a new pool",
+          "[dispatcher]")
 {
-    // Something between entry and target has lost track of an open connection: bytes go in and
-    // nothing ever comes back. The start did arrive. The entry must neither wait for ever nor
-    // send the start again; it replaces the whole pool and asks.
-    Path path;
-    path.control(R"({"silent": true})");
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(eventually([&] { return path.client->poolsReplaced() >= 1; }));
-    path.control(R"({"silent": false})");
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::Succeeded);
-    CHECK(path.dispatcher->counters().started == 1);
-    CHECK(path.starts() == 1);
+    // A device between entry and target has lost the state of an open connection: nothing that is
+    // sent is ever answered, although the start did arrive. The entry must neither wait forever nor
+    // resend the start; it replaces the whole pool and queries the attempt.
+    DispatchFixture fixture;
+    fixture.control(R"({"silent": true})");
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(eventually([&] { return fixture.client->poolsReplaced() >= 1; }));
+    fixture.control(R"({"silent": false})");
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::Succeeded);
+    CHECK(fixture.dispatcher->counters().started == 1);
+    CHECK(fixture.starts() == 1);
 }
 
-TEST_CASE("a refused connection alone is not taken for never started", "[dispatcher]")
+TEST_CASE("a refused connection alone does not count as never started", "[dispatcher]")
 {
-    // The target refuses connections for a while. A refusal does not prove that no earlier byte
-    // arrived, so the task is free only when the target itself has promised.
-    Path path;
-    path.control(R"({"refuseMs": 600})");
+    // The target refuses connections for a while. That does not prove that nothing sent earlier
+    // arrived, so the task may be placed again only once the target has promised not to start it.
+    DispatchFixture fixture;
+    fixture.control(R"({"refuseMs": 600})");
     std::atomic<bool> closed{false};
     REQUIRE(eventually([&] {
-        path.client->ask(path.target->address(), {TaskId{1}, 1}, 0, Milliseconds(0),
-                         [&](const Result<AttemptReport> &report) {
-                             closed = report.has_error()
-                                 && report.error().code == ErrorCode::Unavailable;
-                         });
+        fixture.client->ask(fixture.target->address(), {TaskId{1}, 1}, 0, Milliseconds(0),
+                            [&](const Result<AttemptReport> &report) {
+                                closed = report.has_error()
+                                    && report.error().code == ErrorCode::Unavailable;
+                            });
         return closed.load();
     }));
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::NeverStarted);
-    CHECK(path.dispatcher->counters().targetErrors >= 1);
-    CHECK(path.starts() == 0);
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::NeverStarted);
+    CHECK(fixture.dispatcher->counters().targetErrors >= 1);
+    CHECK(fixture.starts() == 0);
 }
 
-TEST_CASE("an end is reported until it is committed and only then told", "[dispatcher]")
+TEST_CASE("an end is reported until it is committed, and only then passed to listeners",
+          "[dispatcher]")
 {
-    // The controller is killed while an answer arrives. The caller must not get an answer whose
-    // end was never committed, and the end must not be lost.
-    Path path;
+    // The controller fails while an answer arrives. The caller must not get an answer whose end was
+    // never committed, and the end must not be lost.
+    DispatchFixture fixture;
     std::atomic<int> failures{3};
     std::atomic<bool> committed{false};
-    path.controller.onEnd = [&](const AttemptEnd &) -> Result<Nothing> {
+    fixture.controller.onEnd = [&](const AttemptEnd &) -> Result<Nothing> {
         if (failures-- > 0)
             return failure(ErrorCode::Unavailable, "no controller");
         committed = true;
         return Nothing{};
     };
     std::atomic<bool> heard{false};
-    path.dispatcher->listen(task, [&](const EndedAttempt &) {
+    fixture.dispatcher->listen(task, [&](const EndedAttempt &) {
         CHECK(committed);
         heard = true;
     });
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
     CHECK(eventually([&] { return heard.load(); }));
-    CHECK(path.dispatcher->counters().reportRetries == 3);
+    CHECK(fixture.dispatcher->counters().reportRetries == 3);
 }
 
-TEST_CASE("a superseded end is told as such and reported no more", "[dispatcher]")
+TEST_CASE("a superseded end is passed on as not committed and not reported again", "[dispatcher]")
 {
-    Path path;
-    path.controller.onEnd = [](const AttemptEnd &) -> Result<Nothing> {
+    DispatchFixture fixture;
+    fixture.controller.onEnd = [](const AttemptEnd &) -> Result<Nothing> {
         return failure(ErrorCode::Conflict, "another attempt is current");
     };
     std::atomic<int> heard{0};
-    path.dispatcher->listen(task, [&](const EndedAttempt &ended) {
+    fixture.dispatcher->listen(task, [&](const EndedAttempt &ended) {
         CHECK_FALSE(ended.committed);
         ++heard;
     });
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
     CHECK(eventually([&] { return heard == 1; }));
-    CHECK(path.dispatcher->counters().superseded == 1);
-    CHECK(path.dispatcher->counters().following == 0);
+    CHECK(fixture.dispatcher->counters().superseded == 1);
+    CHECK(fixture.dispatcher->counters().following == 0);
 }
 
-TEST_CASE("a stop is asked for until the target says that the attempt is over", "[dispatcher]")
+TEST_CASE("a stop is repeated until the target reports that the attempt has ended", "[dispatcher]")
 {
-    // A cancelled task's target ignores the stop at first. The task is not free before the target
-    // says so.
-    Path path(60000);
-    path.control(R"({"ignoreStop": true})");
-    path.dispatcher->dispatch({path.order(DispatchAction::Start)});
-    REQUIRE(eventually([&] { return path.starts() == 1; }));
-    path.dispatcher->dispatch({path.order(DispatchAction::Stop)});
-    path.control(R"({"ignoreStop": false})");
-    REQUIRE(path.endsKnown(1));
-    CHECK(path.controller.ends[0].outcome == AttemptOutcome::Stopped);
+    // The target ignores the stop of a cancelled task at first. The attempt must not count as ended
+    // before the target reports it.
+    DispatchFixture fixture(60000);
+    fixture.control(R"({"ignoreStop": true})");
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
+    REQUIRE(eventually([&] { return fixture.starts() == 1; }));
+    fixture.dispatcher->dispatch({fixture.order(DispatchAction::Stop)});
+    fixture.control(R"({"ignoreStop": false})");
+    REQUIRE(fixture.waitForEnds(1));
+    CHECK(fixture.controller.ends[0].outcome == AttemptOutcome::Stopped);
 }
