--- a/src/callers/answerfetch.cpp
+++ b/src/callers/answerfetch.cpp
@@ -24,16 +24,16 @@
         , done(std::move(done))
     {}
 
-    void ask()
+    void query()
     {
         auto self = this->shared_from_this();
-        this->targets.ask(this->task.targetAddress, {this->task.task, this->task.attempt}, 0,
-                          Milliseconds(0),
-                          [self](const Result<AttemptReport> &report) { self->asked(report); });
+        this->targets.query(this->task.targetAddress, {this->task.task, this->task.attempt}, 0,
+                            Milliseconds(0),
+                            [self](const Result<AttemptReport> &report) { self->onReply(report); });
     }
 
 private:
-    void asked(const Result<AttemptReport> &report)
+    void onReply(const Result<AttemptReport> &report)
     {
         if (report && this->isCommittedAnswer(report.value())) {
             this->done(report.value().answer);
@@ -43,7 +43,7 @@
         const bool permanent = report.has_value() || report.error().code == ErrorCode::NotFound;
         if (!permanent && monotonicNow() + retryDelay < this->deadline) {
             auto self = this->shared_from_this();
-            this->timers.runAfter(retryDelay, [self] { self->ask(); });
+            this->timers.runAfter(retryDelay, [self] { self->query(); });
             return;
         }
         Error error =
@@ -72,7 +72,7 @@
 void fetchAnswer(TargetClient &targets, TimerQueue &timers, const TaskStatus &task,
                  Instant deadline, Done<std::string> done)
 {
-    std::make_shared<AnswerFetch>(targets, timers, task, deadline, std::move(done))->ask();
+    std::make_shared<AnswerFetch>(targets, timers, task, deadline, std::move(done))->query();
 }
 
 } // namespace guavavalve
--- a/src/callers/callerservice.cpp
+++ b/src/callers/callerservice.cpp
@@ -81,7 +81,8 @@
     Result<CallerIdentity> authenticate(const HttpRequest &request) const;
     void admit(HttpRequest http, const HttpReply &reply, Handler handler);
     void submit(Request &request);
-    void submitted(const Request &request, const SubmitRequest &submit, Result<SubmitReply> result);
+    void onSubmitted(const Request &request, const SubmitRequest &submit,
+                     Result<SubmitReply> result);
     void wait(const Request &request, const SubmitRequest &submit, SubmitReply accepted);
     void handleGet(Request &request);
     void status(const Request &request, JobId job);
@@ -157,12 +158,13 @@
     submit.payload = std::move(payload);
     this->context.controller.submit(std::move(submit), this->controllerDeadline(),
                                     [self, request, withoutPayload](Result<SubmitReply> result) {
-                                        self->submitted(request, withoutPayload, std::move(result));
+                                        self->onSubmitted(request, withoutPayload,
+                                                          std::move(result));
                                     });
 }
 
-void CallerService::Private::submitted(const Request &request, const SubmitRequest &submit,
-                                       Result<SubmitReply> result)
+void CallerService::Private::onSubmitted(const Request &request, const SubmitRequest &submit,
+                                         Result<SubmitReply> result)
 {
     if (!result) {
         this->fail(request.reply, result.error());
--- a/src/callers/waitingcall.cpp
+++ b/src/callers/waitingcall.cpp
@@ -39,7 +39,7 @@
     if (this->tasks == 1) {
         this->listenerId = this->context.dispatcher.listen(
             TaskId{idValue(this->job)},
-            [self](const EndedAttempt &attempt) { self->attemptEnded(attempt); });
+            [self](const EndedAttempt &attempt) { self->onAttemptEnded(attempt); });
     }
     const bool dispatchedHere = this->tasks == 1 && !accepted.dispatches.empty();
     if (dispatchedHere)
@@ -49,7 +49,7 @@
         this->pollStatus();
 }
 
-void WaitingCall::attemptEnded(const EndedAttempt &attempt)
+void WaitingCall::onAttemptEnded(const EndedAttempt &attempt)
 {
     if (!attempt.committed || attempt.end.outcome != AttemptOutcome::Succeeded) {
         // Only the controller knows whether the job has finished: it may retry the task.
@@ -58,7 +58,7 @@
     }
     const auto waited =
         std::chrono::duration_cast<Milliseconds>(attempt.followedFrom - this->received);
-    this->finish(answerResponse(this->job, attempt.answer, waited.count()), std::nullopt);
+    this->sendReply(answerResponse(this->job, attempt.answer, waited.count()), std::nullopt);
 }
 
 void WaitingCall::pollStatus()
@@ -68,15 +68,15 @@
     auto self = this->shared_from_this();
     this->context.controller.jobStatus(
         this->team, this->job, true, this->deadline,
-        [self](const Result<JobStatus> &result) { self->statusArrived(result); });
+        [self](const Result<JobStatus> &result) { self->onStatus(result); });
 }
 
-void WaitingCall::statusArrived(const Result<JobStatus> &result)
+void WaitingCall::onStatus(const Result<JobStatus> &result)
 {
     if (this->replied)
         return;
     if (result && result.value().finished) {
-        this->finished(result.value());
+        this->onJobFinished(result.value());
         return;
     }
     if (monotonicNow() + pollInterval < this->deadline) {
@@ -94,10 +94,10 @@
     this->fail(error);
 }
 
-void WaitingCall::finished(const JobStatus &status)
+void WaitingCall::onJobFinished(const JobStatus &status)
 {
     if (status.tasks.size() != 1) {
-        this->finish(statusResponse(status, 200), std::nullopt);
+        this->sendReply(statusResponse(status, 200), std::nullopt);
         return;
     }
     const TaskStatus &task = status.tasks.front();
@@ -113,8 +113,8 @@
     fetchAnswer(this->context.targets, this->context.timers, task, monotonicNow() + fetchTimeout,
                 [self, waitedMs](const Result<std::string> &answer) {
                     if (answer)
-                        self->finish(answerResponse(self->job, answer.value(), waitedMs),
-                                     std::nullopt);
+                        self->sendReply(answerResponse(self->job, answer.value(), waitedMs),
+                                        std::nullopt);
                     else
                         self->fail(answer.error());
                 });
@@ -122,10 +122,10 @@
 
 void WaitingCall::fail(const Error &error)
 {
-    this->finish(jobErrorResponse(this->job, error), error.ran);
+    this->sendReply(jobErrorResponse(this->job, error), error.ran);
 }
 
-void WaitingCall::finish(const HttpResponse &response, std::optional<Ran> ran)
+void WaitingCall::sendReply(const HttpResponse &response, std::optional<Ran> ran)
 {
     if (this->replied.exchange(true))
         return;
--- a/src/callers/waitingcall.h
+++ b/src/callers/waitingcall.h
@@ -43,16 +43,16 @@
     WaitingCall(const Context &context, std::string team, std::uint32_t tasks, Instant received,
                 Instant deadline, Reply reply);
 
-    /// Waits for the job of \a accepted, and passes its orders to the dispatcher.
+    /// Waits for the job of \a accepted, and passes the orders in it to the dispatcher.
     void start(SubmitReply accepted);
 
 private:
-    void attemptEnded(const EndedAttempt &attempt);
+    void onAttemptEnded(const EndedAttempt &attempt);
     void pollStatus();
-    void statusArrived(const Result<JobStatus> &result);
-    void finished(const JobStatus &status);
+    void onStatus(const Result<JobStatus> &result);
+    void onJobFinished(const JobStatus &status);
     void fetch(const TaskStatus &task, std::int64_t waitedMs);
-    void finish(const HttpResponse &response, std::optional<Ran> ran);
+    void sendReply(const HttpResponse &response, std::optional<Ran> ran);
     void fail(const Error &error);
 
     Context context;
--- a/src/operators/operatoridentification.cpp
+++ b/src/operators/operatoridentification.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The time that the comparison takes does not reveal where the two strings differ.
+/// The time that the comparison takes does not reveal where the two strings differ, so a secret
+/// cannot be guessed byte by byte from response times.
 bool equalInConstantTime(const std::string &left, const std::string &right)
 {
     return left.size() == right.size()
--- a/src/operators/operatorjson.h
+++ b/src/operators/operatorjson.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// Converts \a reply to the JSON of the operators' HTTP interface. Job and task identifiers are
+/// Converts \a reply to the JSON of the operators' HTTP interface. Job and task numbers are
 /// strings, because many JSON parsers keep only 53 bits of a number.
 nlohmann::json toJson(const OperatorReply &reply);
 
--- a/src/operators/operatorrequestparsing.cpp
+++ b/src/operators/operatorrequestparsing.cpp
@@ -74,9 +74,9 @@
     const std::string role = body.text("role", "team");
     requestBody.isOperator = role == "operator";
     if (role != "team" && role != "operator")
-        body.refuse("role is \"" + role + "\"; allowed: team, operator");
+        body.recordError("role is \"" + role + "\"; allowed: team, operator");
     if (!requestBody.isOperator && requestBody.team.empty())
-        body.refuse("team is missing: name the team that the key is for");
+        body.recordError("team is missing: name the team that the key is for");
     return body.outcome<OperatorRequestBody>(std::move(requestBody));
 }
 
@@ -130,10 +130,10 @@
 {
     ListJobsRequest requestBody;
     BOOST_OUTCOME_TRY(atMost, numberParameter(request, "limit", requestBody.atMost));
-    constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
+    constexpr std::uint64_t maxCount = std::numeric_limits<std::uint32_t>::max();
     requestBody.team = request.parameter("team");
     requestBody.unfinishedOnly = request.parameter("unfinished") == "true";
-    requestBody.atMost = static_cast<std::uint32_t>(std::min(atMost, most));
+    requestBody.atMost = static_cast<std::uint32_t>(std::min(atMost, maxCount));
     return OperatorRequestBody(std::move(requestBody));
 }
 
@@ -180,7 +180,7 @@
     for (BodyFields &fields : body.list("members"))
         requestBody.members.push_back(parseMember(fields));
     if (requestBody.members.empty())
-        body.refuse("members is empty; name one, three or five replicas");
+        body.recordError("members is empty; name one, three or five replicas");
     return body.outcome<FormGroupRequest>(std::move(requestBody));
 }
 
--- a/src/operators/requestfields.cpp
+++ b/src/operators/requestfields.cpp
@@ -12,7 +12,7 @@
     , firstError(std::make_shared<std::optional<Error>>())
 {
     if (!this->object.is_object()) {
-        this->refuse("the body is not a JSON object");
+        this->recordError("the body is not a JSON object");
         this->object = nlohmann::json::object();
     }
 }
@@ -24,13 +24,13 @@
     , firstError(std::move(firstError))
 {}
 
-void BodyFields::refuse(const std::string &message)
+void BodyFields::recordError(const std::string &message)
 {
     if (!this->firstError->has_value())
         *this->firstError = failure(ErrorCode::InvalidArgument, message);
 }
 
-void BodyFields::refuseField(const std::string &name, const std::string &allowed)
+void BodyFields::recordFieldError(const std::string &name, const std::string &allowed)
 {
     constexpr std::size_t maxQuotedBytes = 60;
     std::string found = "is missing";
@@ -38,14 +38,14 @@
         const auto replace = nlohmann::json::error_handler_t::replace;
         found = "is " + field->dump(-1, ' ', false, replace).substr(0, maxQuotedBytes);
     }
-    this->refuse(this->path + name + " " + found + "; give " + allowed);
+    this->recordError(this->path + name + " " + found + "; give " + allowed);
 }
 
 std::string BodyFields::text(const std::string &name)
 {
     std::string value = this->text(name, "");
     if (value.empty())
-        this->refuseField(name, "a non-empty string");
+        this->recordFieldError(name, "a non-empty string");
     return value;
 }
 
@@ -56,7 +56,7 @@
         return defaultValue;
     if (field->is_string())
         return field->get<std::string>();
-    this->refuseField(name, "a string");
+    this->recordFieldError(name, "a string");
     return defaultValue;
 }
 
@@ -67,7 +67,7 @@
         return defaultValue;
     if (field->is_boolean())
         return field->get<bool>();
-    this->refuseField(name, "true or false");
+    this->recordFieldError(name, "true or false");
     return defaultValue;
 }
 
@@ -76,12 +76,12 @@
     const auto field = this->object.find(name);
     std::vector<BodyFields> result;
     if (field == this->object.end() || !field->is_array()) {
-        this->refuseField(name, "an array of objects");
+        this->recordFieldError(name, "an array of objects");
         return result;
     }
     for (std::size_t i = 0; i < field->size(); ++i) {
         if (!(*field)[i].is_object()) {
-            this->refuseField(name, "an array of objects");
+            this->recordFieldError(name, "an array of objects");
             return result;
         }
         const std::string itemPath = this->path + name + "[" + std::to_string(i) + "].";
--- a/src/operators/requestfields.h
+++ b/src/operators/requestfields.h
@@ -15,8 +15,8 @@
 struct HttpRequest;
 
 /// Reads the fields of the JSON object in a request's body. The first invalid field is recorded
-/// with its value and what is allowed, and outcome() returns that error; reading continues with
-/// default values until then.
+/// with its value and what is allowed, and outcome() returns that error. Reading continues after
+/// an error, with default values for invalid fields.
 class BodyFields
 {
 public:
@@ -40,12 +40,12 @@
     }
 
     /// Records \a message as the error, unless there is one already.
-    void refuse(const std::string &message);
+    void recordError(const std::string &message);
 
 private:
     BodyFields(nlohmann::json value, std::string objectPath,
                std::shared_ptr<std::optional<Error>> firstError);
-    void refuseField(const std::string &name, const std::string &allowed);
+    void recordFieldError(const std::string &name, const std::string &allowed);
 
     nlohmann::json object;
     std::string path; ///< of this object in the body, for error messages
--- a/src/targets/announcementlistener.cpp
+++ b/src/targets/announcementlistener.cpp
@@ -67,11 +67,11 @@
     std::vector<Waiting> batch;
     std::size_t inFlight = 0; ///< announcements forwarded and not yet answered
 
-    void take(const HttpRequest &request, const HttpReply &reply);
+    void receive(const HttpRequest &request, const HttpReply &reply);
     void flush();
 };
 
-void AnnouncementListener::Private::take(const HttpRequest &request, const HttpReply &reply)
+void AnnouncementListener::Private::receive(const HttpRequest &request, const HttpReply &reply)
 {
     auto parsed = parseAnnouncement(request.body);
     if (!parsed) {
@@ -137,7 +137,7 @@
 {
     server.route("POST", std::string(announcePath),
                  [shared = this->d](const HttpRequest &request, const HttpReply &reply) {
-                     shared->take(request, reply);
+                     shared->receive(request, reply);
                  });
 }
 
--- a/src/targets/attemptreport.h
+++ b/src/targets/attemptreport.h
@@ -11,7 +11,9 @@
 {
     bool ended = false; ///< false while the attempt is running
     AttemptOutcome outcome = AttemptOutcome::Failed; ///< valid once ended
-    std::string answer; ///< complete, checked by length and digest; a message if it failed
+    /// The complete answer, verified by length and digest, or an error message if the attempt
+    /// failed.
+    std::string answer;
     std::string answerDigest;
 };
 
--- a/src/targets/backoff.h
+++ b/src/targets/backoff.h
@@ -12,27 +12,27 @@
 class Backoff
 {
 public:
-    Backoff(Milliseconds first, Milliseconds longest)
-        : first(first)
-        , next(first)
-        , longest(longest)
+    Backoff(Milliseconds initialDelay, Milliseconds maxDelay)
+        : initialDelay(initialDelay)
+        , nextDelay(initialDelay)
+        , maxDelay(maxDelay)
     {}
 
-    void reset() { this->next = this->first; }
+    void reset() { this->nextDelay = this->initialDelay; }
 
     Microseconds delay()
     {
         thread_local std::minstd_rand random{std::random_device{}()};
         std::uniform_int_distribution<std::int64_t> jitter(500, 1500);
-        const Microseconds chosen{this->next.count() * jitter(random)};
-        this->next = std::min(this->next * 2, this->longest);
+        const Microseconds chosen{this->nextDelay.count() * jitter(random)};
+        this->nextDelay = std::min(this->nextDelay * 2, this->maxDelay);
         return chosen;
     }
 
 private:
-    Milliseconds first;
-    Milliseconds next;
-    Milliseconds longest;
+    Milliseconds initialDelay;
+    Milliseconds nextDelay;
+    Milliseconds maxDelay;
 };
 
 } // namespace guavavalve::internal
--- a/src/targets/dispatcher.cpp
+++ b/src/targets/dispatcher.cpp
@@ -57,14 +57,14 @@
     std::array<Shard, shardCount> shards;
 
     Shard &shardOf(TaskId task) { return this->shards[idValue(task) % shardCount]; }
-    void carryOut(DispatchOrder order);
-    std::shared_ptr<FollowedAttempt> take(DispatchOrder order, bool &isNew);
-    void ended(const EndedAttempt &attempt);
+    void execute(DispatchOrder order);
+    std::shared_ptr<FollowedAttempt> findOrCreate(DispatchOrder order, bool &isNew);
+    void onAttemptEnded(const EndedAttempt &attempt);
 };
 
 /// The followed attempt of \a order, created if needed; null if it has ended or a later attempt of
 /// the task is already followed.
-std::shared_ptr<FollowedAttempt> Dispatcher::Private::take(DispatchOrder order, bool &isNew)
+std::shared_ptr<FollowedAttempt> Dispatcher::Private::findOrCreate(DispatchOrder order, bool &isNew)
 {
     Shard &shard = this->shardOf(order.task);
     const std::lock_guard lock(shard.mutex);
@@ -84,16 +84,16 @@
     auto self = this->shared_from_this();
     slot = std::make_shared<FollowedAttempt>(
         this->context, std::move(order),
-        [self](const EndedAttempt &attempt) { self->ended(attempt); });
+        [self](const EndedAttempt &attempt) { self->onAttemptEnded(attempt); });
     isNew = true;
     return slot;
 }
 
-void Dispatcher::Private::carryOut(DispatchOrder order)
+void Dispatcher::Private::execute(DispatchOrder order)
 {
     const DispatchAction action = order.action;
     bool isNew = false;
-    const std::shared_ptr<FollowedAttempt> attempt = this->take(std::move(order), isNew);
+    const std::shared_ptr<FollowedAttempt> attempt = this->findOrCreate(std::move(order), isNew);
     if (!attempt)
         return;
     switch (action) {
@@ -121,7 +121,7 @@
         attempt->follow();
 }
 
-void Dispatcher::Private::ended(const EndedAttempt &attempt)
+void Dispatcher::Private::onAttemptEnded(const EndedAttempt &attempt)
 {
     const AttemptEnd &end = attempt.end;
     std::map<std::uint64_t, EndListener> listeners;
@@ -164,7 +164,7 @@
 void Dispatcher::dispatch(std::vector<DispatchOrder> orders)
 {
     for (DispatchOrder &order : orders)
-        this->d->carryOut(std::move(order));
+        this->d->execute(std::move(order));
 }
 
 std::uint64_t Dispatcher::listen(TaskId task, EndListener listener)
--- a/src/targets/dispatcher.h
+++ b/src/targets/dispatcher.h
@@ -20,13 +20,14 @@
 
 struct DispatcherOptions
 {
-    Milliseconds initialWait{
-        1000}; ///< requested of the target by the first call; doubles with each one
+    Milliseconds initialWait{1000}; ///< long-poll wait of the first call; doubles each time
     Milliseconds maxWait{16000};
     Milliseconds initialBackoff{50}; ///< after an error; doubles each time, with jitter
     Milliseconds maxBackoff{2000};
     Milliseconds reportTimeout{3000}; ///< for one report to the controller
-    Milliseconds maxUnresponsiveTime{3600 * 1000}; ///< after which a target is given up
+    /// How long a target may be unresponsive before its attempts are given up. Its lease has long
+    /// expired at the controller by then.
+    Milliseconds maxUnresponsiveTime{3600 * 1000};
 };
 
 struct DispatcherCounters
@@ -36,6 +37,7 @@
     std::size_t succeeded = 0;
     std::size_t failed = 0;
     std::size_t neverStarted = 0;
+    /// Attempts replaced by a later one, given up, or whose end the controller did not accept.
     std::size_t superseded = 0;
     std::size_t targetErrors = 0;
     std::size_t reportRetries = 0;
--- a/src/targets/endedattempt.h
+++ b/src/targets/endedattempt.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve {
 
-/// How an attempt ended that a Dispatcher followed.
+/// The end of an attempt that a Dispatcher followed.
 struct EndedAttempt
 {
     AttemptEnd end;
--- a/src/targets/followedattempt.cpp
+++ b/src/targets/followedattempt.cpp
@@ -39,12 +39,12 @@
 
 void FollowedAttempt::start()
 {
-    this->watchDeadline();
+    this->scheduleFinishDeadline();
     ++this->context->started;
     auto self = this->shared_from_this();
     this->context->targets.start(
         this->order, this->nextWait(),
-        [self](const Result<AttemptReport> &report) { self->asked(report); });
+        [self](const Result<AttemptReport> &report) { self->onQueryReply(report); });
     // The start request is never sent again, so the payload is no longer needed.
     this->order.payload.clear();
     this->order.payload.shrink_to_fit();
@@ -52,11 +52,11 @@
 
 void FollowedAttempt::follow()
 {
-    this->watchDeadline();
-    this->ask();
+    this->scheduleFinishDeadline();
+    this->query();
 }
 
-void FollowedAttempt::watchDeadline()
+void FollowedAttempt::scheduleFinishDeadline()
 {
     if (this->order.finishWithinMs <= 0)
         return;
@@ -88,7 +88,7 @@
                                       {this->order.task, this->order.attempt},
                                       [self](const Result<AttemptReport> &report) {
                                           if (report && report.value().ended)
-                                              self->ended(report.value());
+                                              self->recordEnd(report.value());
                                       });
 }
 
@@ -109,26 +109,27 @@
     return Milliseconds(wait);
 }
 
-void FollowedAttempt::ask()
+void FollowedAttempt::query()
 {
     if (this->isOver())
         return;
     auto self = this->shared_from_this();
-    this->context->targets.ask(
+    this->context->targets.query(
         this->order.targetAddress, {this->order.task, this->order.attempt}, this->order.incarnation,
-        this->nextWait(), [self](const Result<AttemptReport> &report) { self->asked(report); });
+        this->nextWait(),
+        [self](const Result<AttemptReport> &report) { self->onQueryReply(report); });
 }
 
-void FollowedAttempt::asked(const Result<AttemptReport> &report)
+void FollowedAttempt::onQueryReply(const Result<AttemptReport> &report)
 {
     if (this->isOver())
         return;
     if (report) {
-        this->targetAnswered();
+        this->resetTimeouts();
         if (report.value().ended)
-            this->ended(report.value());
+            this->recordEnd(report.value());
         else
-            this->ask();
+            this->query();
         return;
     }
     if (report.error().code == ErrorCode::NotFound) {
@@ -145,13 +146,13 @@
         incomplete.ended = true;
         incomplete.outcome = AttemptOutcome::Failed;
         incomplete.answer = report.error().message;
-        this->ended(incomplete);
+        this->recordEnd(incomplete);
         return;
     }
-    this->retry(&FollowedAttempt::ask);
+    this->retry(&FollowedAttempt::query);
 }
 
-void FollowedAttempt::targetAnswered()
+void FollowedAttempt::resetTimeouts()
 {
     this->giveUpDeadline = monotonicNow() + this->context->options.maxUnresponsiveTime;
     const std::lock_guard lock(this->mutex);
@@ -165,15 +166,15 @@
     auto self = this->shared_from_this();
     this->context->targets.stop(
         this->order.targetAddress, {this->order.task, this->order.attempt}, this->order.incarnation,
-        [self](const Result<AttemptReport> &report) { self->stopped(report); });
+        [self](const Result<AttemptReport> &report) { self->onStopReply(report); });
 }
 
-void FollowedAttempt::stopped(const Result<AttemptReport> &report)
+void FollowedAttempt::onStopReply(const Result<AttemptReport> &report)
 {
     if (this->isOver())
         return;
     if (report && report.value().ended) {
-        this->ended(report.value());
+        this->recordEnd(report.value());
         return;
     }
     if (!report)
@@ -199,7 +200,7 @@
     this->context->timers.runAfter(delay, [self, step] { ((*self).*step)(); });
 }
 
-void FollowedAttempt::ended(const AttemptReport &report)
+void FollowedAttempt::recordEnd(const AttemptReport &report)
 {
     if (this->outcomeKnown.exchange(true))
         return;
@@ -222,10 +223,10 @@
     auto self = this->shared_from_this();
     this->context->controller.attemptEnded(
         this->outcome.end, monotonicNow() + this->context->options.reportTimeout,
-        [self](const Result<Nothing> &result) { self->reported(result); });
+        [self](const Result<Nothing> &result) { self->onReportReply(result); });
 }
 
-void FollowedAttempt::reported(const Result<Nothing> &result)
+void FollowedAttempt::onReportReply(const Result<Nothing> &result)
 {
     if (this->dropped)
         return;
--- a/src/targets/followedattempt.h
+++ b/src/targets/followedattempt.h
@@ -30,6 +30,7 @@
     TimerQueue &timers;
     DispatcherOptions options;
 
+    // Counted for DispatcherCounters.
     std::atomic<std::size_t> started{0};
     std::atomic<std::size_t> succeeded{0};
     std::atomic<std::size_t> failed{0};
@@ -65,16 +66,16 @@
     void drop();
 
 private:
-    void watchDeadline();
-    void ask();
-    void asked(const Result<AttemptReport> &report);
-    void targetAnswered();
+    void scheduleFinishDeadline();
+    void query();
+    void onQueryReply(const Result<AttemptReport> &report);
+    void resetTimeouts();
     void requestStop();
-    void stopped(const Result<AttemptReport> &report);
+    void onStopReply(const Result<AttemptReport> &report);
     void retry(void (FollowedAttempt::*step)());
-    void ended(const AttemptReport &report);
+    void recordEnd(const AttemptReport &report);
     void report();
-    void reported(const Result<Nothing> &result);
+    void onReportReply(const Result<Nothing> &result);
     bool isOver() const;
     Milliseconds nextWait();
 
@@ -82,8 +83,8 @@
     DispatchOrder order;
     Ended onEnded;
     std::atomic<Instant> giveUpDeadline; ///< postponed whenever the target answers a query
-    std::atomic<std::int64_t> waitMs;
-    std::atomic<bool> outcomeKnown{false}; ///< its end is known
+    std::atomic<std::int64_t> waitMs; ///< long-poll wait of the next call
+    std::atomic<bool> outcomeKnown{false}; ///< set by the first end received
     std::atomic<bool> dropped{false};
     std::atomic<bool> stopRequested{false};
     std::atomic<int> incompleteAnswers{0};
--- a/src/targets/httptargetclient.cpp
+++ b/src/targets/httptargetclient.cpp
@@ -217,8 +217,8 @@
     this->d->call(order.targetAddress, attempt, request, wait, std::move(done));
 }
 
-void HttpTargetClient::ask(const std::string &address, AttemptId attempt, Incarnation incarnation,
-                           Milliseconds wait, Done<AttemptReport> done)
+void HttpTargetClient::query(const std::string &address, AttemptId attempt, Incarnation incarnation,
+                             Milliseconds wait, Done<AttemptReport> done)
 {
     std::string parameters = "?" + waitParameter(wait);
     if (incarnation != 0)
--- a/src/targets/httptargetclient.h
+++ b/src/targets/httptargetclient.h
@@ -29,8 +29,8 @@
     ~HttpTargetClient() override;
 
     void start(const DispatchOrder &order, Milliseconds wait, Done<AttemptReport> done) override;
-    void ask(const std::string &address, AttemptId attempt, Incarnation incarnation,
-             Milliseconds wait, Done<AttemptReport> done) override;
+    void query(const std::string &address, AttemptId attempt, Incarnation incarnation,
+               Milliseconds wait, Done<AttemptReport> done) override;
     void stop(const std::string &address, AttemptId attempt, Incarnation incarnation,
               Done<AttemptReport> done) override;
     void throttle(const std::string &address, AttemptId attempt, Done<AttemptReport> done) override;
--- a/src/targets/targetclient.h
+++ b/src/targets/targetclient.h
@@ -27,8 +27,8 @@
 
     /// Queries an attempt under \a incarnation (0: the current one). The target replies when the
     /// attempt has ended, or after \a wait.
-    virtual void ask(const std::string &address, AttemptId attempt, Incarnation incarnation,
-                     Milliseconds wait, Done<AttemptReport> done) = 0;
+    virtual void query(const std::string &address, AttemptId attempt, Incarnation incarnation,
+                       Milliseconds wait, Done<AttemptReport> done) = 0;
 
     /// Ends an attempt, or has the target refuse it permanently if it has not started under
     /// \a incarnation.
--- a/test/operators/operatorfixture.h
+++ b/test/operators/operatorfixture.h
@@ -79,19 +79,23 @@
     /// The identity that \a token proves to an entry that has the newest configuration.
     Result<OperatorIdentity> identify(const std::string &token) const
     {
-        return identifyOperator(
-            token, secret, [this](const std::string &shown) { return this->identifyKey(shown); });
+        return identifyOperator(token, secret, [this](const std::string &presented) {
+            return this->identifyKey(presented);
+        });
     }
 
     std::string address() const { return "127.0.0.1:" + std::to_string(this->server.port()); }
     static std::string clusterToken() { return std::string("cluster-secret:") + secret; }
-    static OperatorIdentity clusterHolder() { return {OperatorService::clusterKeyId, "", true}; }
+    static OperatorIdentity clusterSecretIdentity()
+    {
+        return {OperatorService::clusterKeyId, "", true};
+    }
 
     /// Grants an operator key and stores its token in operatorToken.
     OperatorIdentity makeOperator()
     {
         const auto granted =
-            this->ask(clusterHolder(), GrantKeyRequest{"", true, "", "make-operator"});
+            this->ask(clusterSecretIdentity(), GrantKeyRequest{"", true, "", "make-operator"});
         REQUIRE(granted);
         this->operatorToken = granted.value().token;
         return {granted.value().keyId, "", true};
@@ -100,7 +104,7 @@
     /// Grants a second operator key, since the last one cannot be withdrawn.
     void grantSpareOperator()
     {
-        REQUIRE(this->ask(clusterHolder(), GrantKeyRequest{"", true, "", "spare"}));
+        REQUIRE(this->ask(clusterSecretIdentity(), GrantKeyRequest{"", true, "", "spare"}));
     }
 
     ClusterStateMachine machine;
@@ -114,9 +118,9 @@
 private:
     Result<KeyRecord> identifyKey(const std::string &token) const
     {
-        BOOST_OUTCOME_TRY(shown, parseToken(token));
-        const std::optional<KeyRecord> record = this->key(shown.keyId);
-        if (!record || record->withdrawn || !secretMatches(shown, secret, record->keyedHash))
+        BOOST_OUTCOME_TRY(presented, parseToken(token));
+        const std::optional<KeyRecord> record = this->key(presented.keyId);
+        if (!record || record->withdrawn || !secretMatches(presented, secret, record->keyedHash))
             return failure(ErrorCode::Unauthenticated, "the key is unknown or has been withdrawn");
         return *record;
     }
--- a/test/operators/operatoridentificationtest.cpp
+++ b/test/operators/operatoridentificationtest.cpp
@@ -2,7 +2,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("A granted token is accepted and all invalid tokens are refused with the same message")
+TEST_CASE("a granted token is accepted and all invalid tokens are refused with the same message")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
--- a/test/operators/operatorservicetest.cpp
+++ b/test/operators/operatorservicetest.cpp
@@ -17,20 +17,20 @@
 // The reply to a grant is lost and the tool resends the request. Granting a second key would leave
 // one valid forever that nobody uses, and refusing would leave the operator without a key. The
 // resent request must return the same key and token.
-TEST_CASE("A resent grant returns the same token and grants no second key")
+TEST_CASE("a resent grant returns the same token and grants no second key")
 {
     OperatorFixture fixture;
     const GrantKeyRequest request{"", true, "first", "r-1"};
-    const auto first = fixture.ask(OperatorFixture::clusterHolder(), request);
-    const auto again = fixture.ask(OperatorFixture::clusterHolder(), request);
+    const auto first = fixture.ask(OperatorFixture::clusterSecretIdentity(), request);
+    const auto again = fixture.ask(OperatorFixture::clusterSecretIdentity(), request);
     REQUIRE(first);
     REQUIRE(again);
     CHECK(again.value().token == first.value().token);
-    const auto keys = fixture.ask(OperatorFixture::clusterHolder(), ListKeysRequest());
+    const auto keys = fixture.ask(OperatorFixture::clusterSecretIdentity(), ListKeysRequest());
     REQUIRE(keys);
     CHECK(keys.value().keys.size() == 1);
     const auto other =
-        fixture.ask(OperatorFixture::clusterHolder(), GrantKeyRequest{"", true, "", "r-2"});
+        fixture.ask(OperatorFixture::clusterSecretIdentity(), GrantKeyRequest{"", true, "", "r-2"});
     REQUIRE(other);
     CHECK(other.value().token != first.value().token);
 }
@@ -44,10 +44,10 @@
     const OperatorIdentity one = fixture.makeOperator();
     REQUIRE(fixture.ask(one, writeOf("team.mill", 0, "w-0")));
     REQUIRE(fixture.ask(one, writeOf("team.mill", 1, "w-1")));
-    const auto loser = fixture.ask(one, WriteSectionRequest{{"team.mill", "{}"}, 1, "w-2"});
-    REQUIRE_FALSE(loser);
-    CHECK(loser.error().code == ErrorCode::Conflict);
-    CHECK(loser.error().ran == Ran::No);
+    const auto conflicting = fixture.ask(one, WriteSectionRequest{{"team.mill", "{}"}, 1, "w-2"});
+    REQUIRE_FALSE(conflicting);
+    CHECK(conflicting.error().code == ErrorCode::Conflict);
+    CHECK(conflicting.error().ran == Ran::No);
     const auto resent = fixture.ask(one, writeOf("team.mill", 1, "w-1"));
     REQUIRE(resent);
     CHECK(resent.value().version == 2);
@@ -56,7 +56,7 @@
     CHECK(history.value().versions.size() == 2);
 }
 
-TEST_CASE("A team may write its own section but neither another team's nor an operators' section")
+TEST_CASE("a team may write its own section but neither another team's nor an operators' section")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
@@ -78,12 +78,12 @@
 
 // A key has been withdrawn, but an entry does not know this yet and forwards a request with it as
 // that of a valid operator. The controller must check the key's record itself and refuse.
-TEST_CASE("The controller refuses a withdrawn key even if the entry accepted it")
+TEST_CASE("the controller refuses a withdrawn key even if the entry accepted it")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
     fixture.grantSpareOperator();
-    REQUIRE(fixture.ask(OperatorFixture::clusterHolder(),
+    REQUIRE(fixture.ask(OperatorFixture::clusterSecretIdentity(),
                         WithdrawKeyRequest{operatorIdentity.keyId, "x-1"}));
     const auto refused = fixture.ask(operatorIdentity, ListTeamsRequest());
     REQUIRE_FALSE(refused);
@@ -92,7 +92,7 @@
 
 // A controller is partitioned from the other replicas, which elect a new one. It must not answer
 // an operator's request, because its state is stale.
-TEST_CASE("A controller without its lease refuses operator requests")
+TEST_CASE("a controller without its lease refuses operator requests")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
@@ -102,7 +102,7 @@
     CHECK(refused.error().code == ErrorCode::NotLeader);
 }
 
-TEST_CASE("Checking drafts reports every problem and changes nothing")
+TEST_CASE("checking drafts reports every problem and changes nothing")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
@@ -120,7 +120,7 @@
     CHECK(after.value().sections.empty());
 }
 
-TEST_CASE("A configuration is in force everywhere if the instances without it hold no lease")
+TEST_CASE("a configuration is in force everywhere if the instances without it hold no lease")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
@@ -130,7 +130,7 @@
     CHECK(fixture.ask(operatorIdentity, ConfigurationInForceRequest()).value().everywhere);
 }
 
-TEST_CASE("A drained target is listed as draining")
+TEST_CASE("a drained target is listed as draining")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
@@ -152,7 +152,7 @@
     CHECK(unknown.error().code == ErrorCode::NotFound);
 }
 
-TEST_CASE("Evacuating a failure domain closes its targets, including those that register later")
+TEST_CASE("evacuating a failure domain closes its targets, including those that register later")
 {
     OperatorFixture fixture;
     const OperatorIdentity operatorIdentity = fixture.makeOperator();
--- a/test/targets/announcementtest.cpp
+++ b/test/targets/announcementtest.cpp
@@ -130,10 +130,10 @@
     controller.leasing = false;
     REQUIRE(eventually([&] { return target.incarnation() > order.incarnation; }));
     std::atomic<bool> stopped{false};
-    client.ask(order.targetAddress, {order.task, order.attempt}, order.incarnation, Milliseconds(0),
-               [&](const Result<AttemptReport> &report) {
-                   stopped = report && report.value().outcome == AttemptOutcome::Stopped;
-               });
+    client.query(order.targetAddress, {order.task, order.attempt}, order.incarnation,
+                 Milliseconds(0), [&](const Result<AttemptReport> &report) {
+                     stopped = report && report.value().outcome == AttemptOutcome::Stopped;
+                 });
     CHECK(eventually([&] { return stopped.load(); }));
     order.task = TaskId{4};
     std::atomic<bool> refused{false};
--- a/test/targets/dispatchertest.cpp
+++ b/test/targets/dispatchertest.cpp
@@ -200,11 +200,11 @@
     fixture.control(R"({"refuseMs": 600})");
     std::atomic<bool> closed{false};
     REQUIRE(eventually([&] {
-        fixture.client->ask(fixture.target->address(), {TaskId{1}, 1}, 0, Milliseconds(0),
-                            [&](const Result<AttemptReport> &report) {
-                                closed = report.has_error()
-                                    && report.error().code == ErrorCode::Unavailable;
-                            });
+        fixture.client->query(fixture.target->address(), {TaskId{1}, 1}, 0, Milliseconds(0),
+                              [&](const Result<AttemptReport> &report) {
+                                  closed = report.has_error()
+                                      && report.error().code == ErrorCode::Unavailable;
+                              });
         return closed.load();
     }));
     fixture.dispatcher->dispatch({fixture.order(DispatchAction::Start)});
