--- a/src/callers/answerfetch.cpp
+++ b/src/callers/answerfetch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Milliseconds pauseBetweenTries{100};
+constexpr Milliseconds retryDelay{100};
 
 class AnswerFetch : public std::enable_shared_from_this<AnswerFetch>
 {
@@ -24,30 +24,31 @@
         , done(std::move(done))
     {}
 
-    void ask()
+    void query()
     {
         auto self = this->shared_from_this();
-        this->targets.ask(this->task.targetAddress, {this->task.task, this->task.attempt}, 0,
-                          Milliseconds(0),
-                          [self](const Result<AttemptReport> &report) { self->asked(report); });
+        this->targets.query(this->task.targetAddress, {this->task.task, this->task.attempt}, 0,
+                            Milliseconds(0),
+                            [self](const Result<AttemptReport> &report) { self->onReply(report); });
     }
 
 private:
-    void asked(const Result<AttemptReport> &report)
+    void onReply(const Result<AttemptReport> &report)
     {
         if (report && this->isCommittedAnswer(report.value())) {
             this->done(report.value().answer);
             return;
         }
-        // A target that no longer knows will not know later either.
-        const bool hopeless = report.has_value() || report.error().code == ErrorCode::NotFound;
-        if (!hopeless && monotonicNow() + pauseBetweenTries < this->deadline) {
+        // A target that no longer knows the attempt will not know it later either.
+        const bool permanent = report.has_value() || report.error().code == ErrorCode::NotFound;
+        if (!permanent && monotonicNow() + retryDelay < this->deadline) {
             auto self = this->shared_from_this();
-            this->timers.runAfter(pauseBetweenTries, [self] { self->ask(); });
+            this->timers.runAfter(retryDelay, [self] { self->query(); });
             return;
         }
-        Error error = failure(ErrorCode::IncompleteAnswer,
-                              "the task succeeded, but its target does not give its answer");
+        Error error =
+            failure(ErrorCode::IncompleteAnswer,
+                    "the task succeeded, but its target did not return the committed answer");
         error.ran = Ran::Yes;
         this->done(error);
     }
@@ -71,7 +72,7 @@
 void fetchAnswer(TargetClient &targets, TimerQueue &timers, const TaskStatus &task,
                  Instant deadline, Done<std::string> done)
 {
-    std::make_shared<AnswerFetch>(targets, timers, task, deadline, std::move(done))->ask();
+    std::make_shared<AnswerFetch>(targets, timers, task, deadline, std::move(done))->query();
 }
 
 } // namespace guavavalve
--- a/src/targets/attemptreport.h
+++ b/src/targets/attemptreport.h
@@ -6,12 +6,14 @@
 
 namespace guavavalve {
 
-/// What a target says of one attempt.
+/// A target's report on one attempt.
 struct AttemptReport
 {
-    bool ended = false; ///< false: it is still running
-    AttemptOutcome outcome = AttemptOutcome::Failed; ///< once ended
-    std::string answer; ///< whole: length and digest have been checked; of a failure, its message
+    bool ended = false; ///< false while the attempt is running
+    AttemptOutcome outcome = AttemptOutcome::Failed; ///< valid once ended
+    /// The complete answer, verified by length and digest, or an error message if the attempt
+    /// failed.
+    std::string answer;
     std::string answerDigest;
 };
 
--- a/src/targets/followedattempt.cpp
+++ b/src/targets/followedattempt.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// So often an answer that is not whole is asked for again; the target keeps it.
+/// Incomplete answers after which an attempt counts as failed. Until then the query is repeated,
+/// because the target still stores the answer.
 constexpr int maxIncompleteAnswers = 3;
 
 bool isSuperseded(ErrorCode code)
@@ -26,10 +27,10 @@
                                  Ended ended)
     : context(std::move(context))
     , order(std::move(order))
-    , tellEnded(std::move(ended))
-    , giveUpAt(monotonicNow() + this->context->options.longestFollow)
-    , waitMs(this->context->options.firstWait.count())
-    , backoff(this->context->options.firstBackoff, this->context->options.longestBackoff)
+    , onEnded(std::move(ended))
+    , giveUpDeadline(monotonicNow() + this->context->options.maxUnresponsiveTime)
+    , waitMs(this->context->options.initialWait.count())
+    , backoff(this->context->options.initialBackoff, this->context->options.maxBackoff)
 {
     this->outcome.end.task = this->order.task;
     this->outcome.end.attempt = this->order.attempt;
@@ -38,28 +39,28 @@
 
 void FollowedAttempt::start()
 {
-    this->watchDeadline();
+    this->scheduleFinishDeadline();
     ++this->context->started;
     auto self = this->shared_from_this();
     this->context->targets.start(
         this->order, this->nextWait(),
-        [self](const Result<AttemptReport> &report) { self->asked(report); });
-    // The target has it or never will: what is sent from here on only asks.
+        [self](const Result<AttemptReport> &report) { self->onQueryReply(report); });
+    // The start request is never sent again, so the payload is no longer needed.
     this->order.payload.clear();
     this->order.payload.shrink_to_fit();
 }
 
 void FollowedAttempt::follow()
 {
-    this->watchDeadline();
-    this->ask();
+    this->scheduleFinishDeadline();
+    this->query();
 }
 
-void FollowedAttempt::watchDeadline()
+void FollowedAttempt::scheduleFinishDeadline()
 {
     if (this->order.finishWithinMs <= 0)
         return;
-    // Held weakly: most attempts end long before their deadline.
+    // A weak reference, since most attempts end long before their deadline.
     this->context->timers.runAfter(Milliseconds(this->order.finishWithinMs),
                                    [weak = this->weak_from_this()] {
                                        if (auto self = weak.lock())
@@ -69,7 +70,7 @@
 
 void FollowedAttempt::stop()
 {
-    if (!this->stopWanted.exchange(true))
+    if (!this->stopRequested.exchange(true))
         this->requestStop();
 }
 
@@ -87,7 +88,7 @@
                                       {this->order.task, this->order.attempt},
                                       [self](const Result<AttemptReport> &report) {
                                           if (report && report.value().ended)
-                                              self->ended(report.value());
+                                              self->recordEnd(report.value());
                                       });
 }
 
@@ -98,61 +99,62 @@
 
 bool FollowedAttempt::isOver() const
 {
-    return this->dropped || this->learned;
+    return this->dropped || this->outcomeKnown;
 }
 
 Milliseconds FollowedAttempt::nextWait()
 {
     const std::int64_t wait = this->waitMs;
-    this->waitMs = std::min(wait * 2, this->context->options.longestWait.count());
+    this->waitMs = std::min(wait * 2, this->context->options.maxWait.count());
     return Milliseconds(wait);
 }
 
-void FollowedAttempt::ask()
+void FollowedAttempt::query()
 {
     if (this->isOver())
         return;
     auto self = this->shared_from_this();
-    this->context->targets.ask(
+    this->context->targets.query(
         this->order.targetAddress, {this->order.task, this->order.attempt}, this->order.incarnation,
-        this->nextWait(), [self](const Result<AttemptReport> &report) { self->asked(report); });
+        this->nextWait(),
+        [self](const Result<AttemptReport> &report) { self->onQueryReply(report); });
 }
 
-void FollowedAttempt::asked(const Result<AttemptReport> &report)
+void FollowedAttempt::onQueryReply(const Result<AttemptReport> &report)
 {
     if (this->isOver())
         return;
     if (report) {
-        this->targetAnswered();
+        this->resetTimeouts();
         if (report.value().ended)
-            this->ended(report.value());
+            this->recordEnd(report.value());
         else
-            this->ask();
+            this->query();
         return;
     }
     if (report.error().code == ErrorCode::NotFound) {
-        // A start may still be under way, in a connection or in a frozen entry that wakes later.
-        // "Unknown" would then be true now and false in a moment; so the target first promises
-        // never to start it, and only its promise is reported.
+        // A start request may still be in flight, on a connection or in a suspended entry that
+        // resumes later, so the target might yet start the attempt. It therefore has to promise
+        // never to start it, and only that promise is reported.
         this->stop();
         return;
     }
     ++this->context->targetErrors;
     if (report.error().code == ErrorCode::IncompleteAnswer
         && ++this->incompleteAnswers >= maxIncompleteAnswers) {
-        AttemptReport broken;
-        broken.ended = true;
-        broken.outcome = AttemptOutcome::Failed;
-        broken.answer = report.error().message;
-        this->ended(broken);
+        AttemptReport incomplete;
+        incomplete.ended = true;
+        incomplete.outcome = AttemptOutcome::Failed;
+        incomplete.answer = report.error().message;
+        this->recordEnd(incomplete);
         return;
     }
-    this->retry(&FollowedAttempt::ask);
+    this->retry(&FollowedAttempt::query);
 }
 
-void FollowedAttempt::targetAnswered()
+void FollowedAttempt::resetTimeouts()
 {
-    this->giveUpAt = monotonicNow() + this->context->options.longestFollow;
+    this->giveUpDeadline = monotonicNow() + this->context->options.maxUnresponsiveTime;
     const std::lock_guard lock(this->mutex);
     this->backoff.reset();
 }
@@ -164,15 +166,15 @@
     auto self = this->shared_from_this();
     this->context->targets.stop(
         this->order.targetAddress, {this->order.task, this->order.attempt}, this->order.incarnation,
-        [self](const Result<AttemptReport> &report) { self->stopped(report); });
+        [self](const Result<AttemptReport> &report) { self->onStopReply(report); });
 }
 
-void FollowedAttempt::stopped(const Result<AttemptReport> &report)
+void FollowedAttempt::onStopReply(const Result<AttemptReport> &report)
 {
     if (this->isOver())
         return;
     if (report && report.value().ended) {
-        this->ended(report.value());
+        this->recordEnd(report.value());
         return;
     }
     if (!report)
@@ -182,11 +184,11 @@
 
 void FollowedAttempt::retry(void (FollowedAttempt::*step)())
 {
-    if (monotonicNow() > this->giveUpAt.load()) {
-        // The controller has long held the target's lease for lapsed.
+    if (monotonicNow() > this->giveUpDeadline.load()) {
+        // By now the target's lease has long expired at the controller.
         this->drop();
         ++this->context->superseded;
-        this->tellEnded(this->outcome);
+        this->onEnded(this->outcome);
         return;
     }
     Microseconds delay{0};
@@ -198,9 +200,9 @@
     this->context->timers.runAfter(delay, [self, step] { ((*self).*step)(); });
 }
 
-void FollowedAttempt::ended(const AttemptReport &report)
+void FollowedAttempt::recordEnd(const AttemptReport &report)
 {
-    if (this->learned.exchange(true))
+    if (this->outcomeKnown.exchange(true))
         return;
     this->outcome.end.outcome = report.outcome;
     if (report.outcome == AttemptOutcome::Succeeded) {
@@ -221,10 +223,10 @@
     auto self = this->shared_from_this();
     this->context->controller.attemptEnded(
         this->outcome.end, monotonicNow() + this->context->options.reportTimeout,
-        [self](const Result<Nothing> &result) { self->reported(result); });
+        [self](const Result<Nothing> &result) { self->onReportReply(result); });
 }
 
-void FollowedAttempt::reported(const Result<Nothing> &result)
+void FollowedAttempt::onReportReply(const Result<Nothing> &result)
 {
     if (this->dropped)
         return;
@@ -243,7 +245,7 @@
         ++this->context->failed;
     this->dropped = true;
     this->outcome.committed = result.has_value();
-    this->tellEnded(this->outcome);
+    this->onEnded(this->outcome);
 }
 
 } // namespace guavavalve::internal
