--- a/src/replicas/applier.cpp
+++ b/src/replicas/applier.cpp
@@ -86,9 +86,9 @@
         if (entry.kind == EntryKind::Command)
             outcome = this->stateMachine.apply(entry.index, entry.payload);
         this->appliedIndex = entry.index;
-        const auto waiting = batch.waiting.find(entry.index);
-        if (waiting != batch.waiting.end())
-            waiting->second(std::move(outcome));
+        const auto pending = batch.pendingProposals.find(entry.index);
+        if (pending != batch.pendingProposals.end())
+            pending->second(std::move(outcome));
     }
 }
 
--- a/src/replicas/applier.h
+++ b/src/replicas/applier.h
@@ -20,15 +20,15 @@
 
 namespace guavavalve::internal {
 
-/// The thread that applies committed entries to the state machine, in order, apart from the
-/// log's thread: a slow state machine must not hold up heartbeats.
+/// Applies committed entries to the state machine, in log order, on a thread of its own: a slow
+/// state machine must not delay the heartbeats that the log's thread sends.
 class Applier
 {
 public:
     struct Batch
     {
         std::vector<LogEntry> entries;
-        std::map<LogIndex, Done<std::string>> waiting; ///< proposals made here
+        std::map<LogIndex, Done<std::string>> pendingProposals; ///< proposed here
     };
     struct Leadership
     {
@@ -49,11 +49,12 @@
     Applier(const Applier &) = delete;
     Applier &operator=(const Applier &) = delete;
 
-    /// \a onProgress is called after each piece of work; \a onFault when a snapshot from the
-    /// leader cannot be restored, which leaves no state to go on with.
+    /// Starts the thread. \a applied is the last index that the state machine already contains.
+    /// \a onProgress is called after each item of work; \a onFault when a snapshot from the leader
+    /// cannot be restored, after which the replica has no valid state to continue from.
     void start(LogIndex applied, std::function<void()> onProgress,
                std::function<void(const Error &)> onFault);
-    /// Finishes what is queued and ends the thread.
+    /// Processes the queued work and joins the thread.
     void stop();
 
     void push(Work work);
--- a/src/replicas/countercells.h
+++ b/src/replicas/atomiccounters.h
@@ -7,26 +7,26 @@
 
 namespace guavavalve::internal {
 
-/// MessengerCounters that several threads count in.
-struct CounterCells
+/// MessengerCounters that several threads may increment concurrently.
+struct AtomicCounters
 {
-    using Cell = std::atomic<std::uint64_t>;
+    using Counter = std::atomic<std::uint64_t>;
 
-    Cell framesSent{0};
-    Cell framesReceived{0};
-    Cell bytesSent{0};
-    Cell bytesReceived{0};
-    Cell badHandshakes{0};
-    Cell unauthenticatedFrames{0};
-    Cell oversizedFrames{0};
-    Cell malformedFrames{0};
-    Cell connectionsOpened{0};
-    Cell connectionsReplaced{0};
-    Cell connectionsRefused{0};
-    Cell callsTimedOut{0};
-    Cell callsRefused{0};
+    Counter framesSent{0};
+    Counter framesReceived{0};
+    Counter bytesSent{0};
+    Counter bytesReceived{0};
+    Counter badHandshakes{0};
+    Counter unauthenticatedFrames{0};
+    Counter oversizedFrames{0};
+    Counter malformedFrames{0};
+    Counter connectionsOpened{0};
+    Counter connectionsReplaced{0};
+    Counter connectionsRefused{0};
+    Counter callsTimedOut{0};
+    Counter callsRefused{0};
 
-    MessengerCounters read() const
+    MessengerCounters load() const
     {
         MessengerCounters counters;
         counters.framesSent = this->framesSent;
--- a/src/replicas/errorpayload.h
+++ b/src/replicas/errorpayload.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve::internal {
 
-/// The payload of an error reply. A struct of its own, since a Result cannot hold an Error as its
+/// The payload of an error reply. Wraps the Error because a Result cannot hold an Error as its
 /// value.
 struct ErrorPayload
 {
--- a/src/replicas/formrequest.h
+++ b/src/replicas/formrequest.h
@@ -8,10 +8,11 @@
 
 namespace guavavalve {
 
-/// Tells a voter that has heard of no formation yet that it belongs to the sender's.
+/// Tells a voter that does not belong to a formed group yet that it is a member of the sender's.
 struct FormRequest
 {
-    /// The group's first entry, the list of its first members, if the sender still has it.
+    /// The group's first log entry, which lists the initial members, if the sender's log still
+    /// contains it.
     std::optional<LogEntry> first;
 
     template<typename Archive>
--- a/src/replicas/groupmanager.cpp
+++ b/src/replicas/groupmanager.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// An instance that has not said within this time that it is there is not taken in.
-constexpr Milliseconds presenceLimit{1500};
-constexpr Milliseconds formRetry{600}; ///< after a formation that failed
+/// An instance whose last presence report is older than this is not added.
+constexpr Milliseconds presenceTimeout{1500};
+constexpr Milliseconds formRetryDelay{600}; ///< after a failed formation
 
 } // namespace
 
@@ -28,7 +28,7 @@
         std::find_if(initialMembers.begin(), initialMembers.end(), [&](const auto &founder) {
             return founder.instance == this->options.self.instance;
         });
-    // One after the other: two formations at once would keep members from each other.
+    // Staggered: concurrent formations would reserve members and so make each other fail.
     if (self != initialMembers.end())
         this->formAt =
             this->options.clock() + (self - initialMembers.begin()) * this->options.formStagger;
@@ -45,7 +45,7 @@
     }
     if (status.role == ReplicaRole::Leader && now >= this->nextJoin) {
         this->nextJoin = now + this->options.joinInterval;
-        this->takeIn(status);
+        this->addPresentInstance(status);
     }
 }
 
@@ -56,21 +56,21 @@
                    [weak = this->weak_from_this()](const Result<Nothing> &formed) {
                        const auto self = weak.lock();
                        if (self && !formed && formed.error().code != ErrorCode::NotLeader)
-                           self->formAt = self->options.clock() + formRetry;
+                           self->formAt = self->options.clock() + formRetryDelay;
                    });
 }
 
-void GroupManager::takeIn(const ReplicaStatus &status)
+void GroupManager::addPresentInstance(const ReplicaStatus &status)
 {
     if (status.members.size() >= this->options.voters)
         return;
-    for (const PresenceReport &report : this->presence.present(presenceLimit)) {
+    for (const PresenceReport &report : this->presence.present(presenceTimeout)) {
         const bool isMember =
             std::any_of(status.members.begin(), status.members.end(),
                         [&](const auto &member) { return member.instance == report.instance; });
         if (!report.holdsReplica || isMember)
             continue;
-        // Refused while another change is under way; it is tried again.
+        // Rejected while another membership change is in progress; retried after joinInterval.
         this->log.addMember({report.instance, report.address}, [](const Result<Nothing> &) {});
         return;
     }
--- a/src/replicas/groupmanager.h
+++ b/src/replicas/groupmanager.h
@@ -15,33 +15,33 @@
 struct GroupManagerOptions
 {
     ReplicaMember self;
-    /// Who forms the group at the very first start, the same list everywhere; empty: this
-    /// instance forms none and waits to be taken in.
+    /// The members that form the group at its very first start; the list must be the same on every
+    /// instance. Empty: this instance forms no group and waits to be added to one.
     std::vector<ReplicaMember> initialMembers;
-    std::size_t voters = 5; ///< twice what may be lost, and one
-    /// The founders try one after the other, in the order of their addresses, this far apart.
+    std::size_t voters = 5; ///< 2f + 1, to tolerate the loss of f voters
+    /// Delay between the formation attempts of successive initial members, ordered by address.
     Milliseconds formStagger{2500};
-    Milliseconds joinInterval{250}; ///< between two tries to take an instance in
+    Milliseconds joinInterval{250}; ///< between two attempts to add an instance
     Clock clock = monotonicNow;
 };
 
-/// Keeps a group complete without an operator: forms it at the first start, and takes in
-/// instances with a disk until the group has as many voters as it should. Replacing a voter that
-/// is gone is the log's own part (RaftOptions::goneAfter).
+/// Forms a group and completes its membership without an operator: forms it at the first start,
+/// and adds instances with a disk until the group has the configured number of voters. The log
+/// itself replaces a voter that is gone for good (RaftOptions::goneAfter).
 class GroupManager : public std::enable_shared_from_this<GroupManager>
 {
 public:
     GroupManager(GroupManagerOptions options, ReplicatedLog &log, const PresenceTable &presence);
 
-    /// To be called often, always from one thread.
+    /// Takes the next step that is due. To be called often, always from the same thread.
     void tick();
 
-    /// True once the group is formed and has all its voters.
+    /// True once the group is formed and has the configured number of voters.
     bool isComplete() const;
 
 private:
     void form();
-    void takeIn(const ReplicaStatus &status);
+    void addPresentInstance(const ReplicaStatus &status);
 
     GroupManagerOptions options;
     ReplicatedLog &log;
--- a/src/replicas/grouprouter.cpp
+++ b/src/replicas/grouprouter.cpp
@@ -32,12 +32,13 @@
     void deliver(std::string message, Done<std::string> reply)
     {
         const std::optional<GroupId> group = groupOf(message);
-        // Held while the receiver runs, so that detach() can promise that none runs afterwards.
-        // A receiver only queues, and takes no lock of the router.
+        // Held while the receiver runs, so that no receiver runs after detach() has returned. This
+        // cannot deadlock: a receiver only enqueues the message and takes no lock of the router.
         const std::shared_lock lock(this->mutex);
         const auto found = group ? this->receivers.find(*group) : this->receivers.end();
         if (found == this->receivers.end()) {
-            reply(failure(ErrorCode::NotFound, "this instance has no replica of that group"));
+            reply(failure(ErrorCode::NotFound,
+                          "this instance has no replica of the requested group"));
             return;
         }
         found->second(std::move(message), std::move(reply));
--- a/src/replicas/grouprouter.h
+++ b/src/replicas/grouprouter.h
@@ -11,14 +11,14 @@
 
 namespace guavavalve {
 
-/// Hands each message of the replicated log to the replica of its group, since one process may
-/// hold replicas of several groups.
+/// Routes each message of the replicated log to the replica of its group, since one process may
+/// host replicas of several groups.
 class GroupRouter
 {
 public:
     using Receiver = std::function<void(std::string message, Done<std::string> reply)>;
 
-    /// Registers the log's methods with \a messenger. Done before its start().
+    /// Registers the log's methods with \a messenger, which must not have been started yet.
     explicit GroupRouter(Messenger &messenger);
     GroupRouter(const GroupRouter &) = delete;
     GroupRouter &operator=(const GroupRouter &) = delete;
@@ -26,9 +26,9 @@
 
     Messenger &messenger() const;
 
-    /// Messages for \a group go to \a receiver, which must not block.
+    /// Delivers messages for \a group to \a receiver, which must not block.
     void attach(GroupId group, Receiver receiver);
-    /// After the return no message is handed to the group's receiver any more.
+    /// Once this returns, the group's receiver is not running and is not called again.
     void detach(GroupId group);
 
 private:
--- a/src/replicas/heartbeatrequest.h
+++ b/src/replicas/heartbeatrequest.h
@@ -6,10 +6,10 @@
 
 namespace guavavalve {
 
-/// Keeps followers from standing for election, and renews the leader's lease by its reply.
+/// Keeps followers from starting an election; its reply renews the leader's lease.
 struct HeartbeatRequest
 {
-    LogIndex committed = 0; ///< never beyond what the follower is known to have
+    LogIndex committed = 0; ///< at most the follower's known match index
     std::int64_t sentAt = 0;
 
     template<typename Archive>
--- a/src/replicas/hello.h
+++ b/src/replicas/hello.h
@@ -11,13 +11,13 @@
 
 namespace guavavalve::internal {
 
-/// The first message of each side of a connection; in the clear.
+/// The handshake message that each side of a connection sends first, unencrypted.
 struct Hello
 {
-    static constexpr std::uint32_t expectedMark = 0x4c565647; // "GVVL"
+    static constexpr std::uint32_t expectedMagic = 0x4c565647; // "GVVL"
     static constexpr std::uint16_t currentVersion = 2;
 
-    std::uint32_t mark = expectedMark;
+    std::uint32_t magic = expectedMagic;
     std::uint16_t version = currentVersion;
     std::string clusterId;
     InstanceId instance;
@@ -26,7 +26,7 @@
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->mark, this->version, this->clusterId, this->instance, this->nonce);
+        archive(this->magic, this->version, this->clusterId, this->instance, this->nonce);
     }
 };
 
--- a/src/replicas/identifyrequest.h
+++ b/src/replicas/identifyrequest.h
@@ -4,18 +4,19 @@
 
 namespace guavavalve {
 
-/// Asks an address which replica is there.
+/// Asks which replica runs at an address, and reserves it for a formation or releases it.
 struct IdentifyRequest
 {
-    /// If not zero: the replica should keep itself for this formation for a while.
-    std::uint64_t reserveFor = 0;
-    /// If not zero: that formation has failed, and the replica need not keep itself for it.
-    std::uint64_t release = 0;
+    /// If not zero, the formation to reserve the replica for. The reservation expires after a
+    /// timeout.
+    std::uint64_t reserveForFormation = 0;
+    /// If not zero, a formation that has failed; a reservation for it ends.
+    std::uint64_t releaseFormation = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->reserveFor, this->release);
+        archive(this->reserveForFormation, this->releaseFormation);
     }
 };
 
--- a/src/replicas/identityreply.h
+++ b/src/replicas/identityreply.h
@@ -9,19 +9,19 @@
 
 namespace guavavalve {
 
-/// Who really is at an address: the reply to IdentifyRequest, and to any message that was meant
-/// for another replica or another formation.
+/// The replica that runs at an address: the reply to IdentifyRequest, and to any message that was
+/// addressed to another replica or another formation.
 struct IdentityReply
 {
     InstanceId instance;
     ReplicaId replica = ReplicaId::None;
     std::uint64_t formation = 0; ///< zero: not formed
-    std::uint64_t reservedFor = 0; ///< the formation it keeps itself for
+    std::uint64_t reservedForFormation = 0; ///< formation that holds a reservation; zero: none
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->instance, this->replica, this->formation, this->reservedFor);
+        archive(this->instance, this->replica, this->formation, this->reservedForFormation);
     }
 };
 
--- a/src/replicas/inmemorylog.cpp
+++ b/src/replicas/inmemorylog.cpp
@@ -38,7 +38,7 @@
     if (applied)
         done(std::move(outcome));
     else
-        done(failure(ErrorCode::NotLeader, "this replica does not lead"));
+        done(failure(ErrorCode::NotLeader, "this replica is not the leader"));
 }
 
 ReplicaStatus InMemoryLog::status() const
@@ -55,7 +55,7 @@
 
 void InMemoryLog::form(std::vector<ReplicaMember> /*members*/, Done<Nothing> done)
 {
-    done(failure(ErrorCode::Conflict, "the group has been formed already"));
+    done(failure(ErrorCode::Conflict, "the group is already formed"));
 }
 
 void InMemoryLog::addMember(ReplicaMember member, Done<Nothing> done)
@@ -81,7 +81,7 @@
 
 void InMemoryLog::transferLeadership(Done<Nothing> done)
 {
-    done(failure(ErrorCode::Unavailable, "there is no other replica"));
+    done(failure(ErrorCode::Unavailable, "the group has no other replica"));
 }
 
 } // namespace guavavalve
--- a/src/replicas/inmemorylog.h
+++ b/src/replicas/inmemorylog.h
@@ -7,15 +7,15 @@
 
 namespace guavavalve {
 
-/// A log of one replica that keeps nothing: applies each command at once, on the caller's
-/// thread. For tests of what stands on a replicated log.
+/// A log of one replica without storage: applies each command immediately, on the caller's
+/// thread. For tests of components that use a replicated log.
 class InMemoryLog : public ReplicatedLog
 {
 public:
     explicit InMemoryLog(StateMachine &stateMachine, InstanceId instance = "single",
                          std::string address = "127.0.0.1:0");
 
-    /// While false, propose() refuses with NotLeader and the lease is not held.
+    /// While \a value is false, propose() fails with NotLeader and the lease is not held.
     void setLeading(bool value);
 
     void propose(std::string command, Done<std::string> done) override;
--- a/src/replicas/messenger.h
+++ b/src/replicas/messenger.h
@@ -10,7 +10,7 @@
 
 namespace guavavalve {
 
-/// What a call between two of our instances asks for. Values are part of the wire format.
+/// The method of a call between two instances. Values are part of the wire format.
 enum class Method : std::uint16_t {
     // The replicated log.
     PreVote = 1,
@@ -18,7 +18,7 @@
     AppendEntries = 3,
     InstallSnapshot = 4,
     TimeoutNow = 5,
-    // Entry to controller.
+    // From an entry instance to the controller.
     Submit = 20,
     AttemptEnded = 21,
     JobStatus = 22,
@@ -27,33 +27,33 @@
     SyncConfiguration = 25,
     Operate = 26,
     Relay = 27,
-    // Controller to entry.
+    // From the controller to an entry instance.
     Dispatch = 40,
     RequestAdmission = 41,
-    ForwardOrder = 42, ///< to a target, whose answer comes back
-    // Any instance to any other.
+    ForwardOrder = 42, ///< forwarded to a target; the reply is the target's answer
+    // Between any two instances.
     Ping = 60,
     ReplicaStatus = 61,
     FormGroup = 62,
     Presence = 63,
-    FindLeader = 64, ///< a replica: answers with the address of the leader it follows; empty: none
+    FindLeader = 64, ///< served by replicas: the address of the current leader; empty: none known
 };
 
-/// Authenticated calls between our own instances over TCP.
+/// Authenticated calls between instances over TCP.
 ///
 /// Each frame is length-capped, versioned, bound to the cluster's identity and authenticated; a
-/// frame that fails is counted and dropped. A peer whose connection has been silent past the
-/// heartbeat's deadline has its connection replaced.
+/// frame that fails one of these checks is counted and dropped. A connection on which nothing has
+/// arrived past the heartbeat's deadline is replaced.
 class Messenger
 {
 public:
-    /// Serves a call. \a reply may be called later and from any thread, once.
+    /// Serves a call. \a reply is called exactly once, possibly later and from any thread.
     using Handler =
         std::function<void(const InstanceId &from, std::string payload, Done<std::string> reply)>;
 
     virtual ~Messenger() = default;
 
-    /// Registers the only handler of \a method. Done before start().
+    /// Registers the only handler of \a method. Must be called before start().
     virtual void handle(Method method, Handler handler) = 0;
 
     /// Calls the instance at \a address ("ip:port").
--- a/src/replicas/messengercounters.h
+++ b/src/replicas/messengercounters.h
@@ -4,7 +4,7 @@
 
 namespace guavavalve {
 
-/// What a messenger has seen since its start.
+/// Events counted by a messenger since its start.
 struct MessengerCounters
 {
     std::uint64_t framesSent = 0;
@@ -14,9 +14,9 @@
     std::uint64_t badHandshakes = 0; ///< wrong magic, version or cluster
     std::uint64_t unauthenticatedFrames = 0; ///< dropped: the authentication tag is wrong
     std::uint64_t oversizedFrames = 0; ///< dropped: longer than the cap
-    std::uint64_t malformedFrames = 0; ///< dropped: authentic, but cannot be decoded
+    std::uint64_t malformedFrames = 0; ///< dropped: authentic but not decodable
     std::uint64_t connectionsOpened = 0;
-    std::uint64_t connectionsReplaced = 0; ///< silent past the heartbeat's deadline
+    std::uint64_t connectionsReplaced = 0; ///< nothing received within the idle timeout
     std::uint64_t connectionsRefused = 0; ///< over the limit of inbound connections
     std::uint64_t callsTimedOut = 0;
     std::uint64_t callsRefused = 0; ///< a bounded queue was full
--- a/src/replicas/messengeroptions.h
+++ b/src/replicas/messengeroptions.h
@@ -12,7 +12,7 @@
 struct MessengerOptions
 {
     InstanceId instance;
-    std::string listenAddress; ///< "ip:port"; port 0 takes a free one
+    std::string listenAddress; ///< "ip:port"; port 0 selects a free port
     std::string clusterId;
     std::string sharedSecret; ///< at least 16 bytes, the same on every instance
     std::size_t maxFrameBytes = 8U << 20U;
@@ -21,7 +21,8 @@
     std::size_t maxInbound = 1024; ///< connections accepted from others
     std::size_t threads = 2;
     Milliseconds heartbeat{500}; ///< between heartbeats on a connection
-    /// A connection on which nothing has arrived for this long is replaced.
+    /// A connection on which nothing has arrived for this long is closed; the next call opens a
+    /// new one.
     Milliseconds idleTimeout{2000};
     Milliseconds connectTimeout{1000}; ///< for connecting and for the handshake
     Milliseconds backoffMin{20};
--- a/src/replicas/presence.h
+++ b/src/replicas/presence.h
@@ -10,12 +10,12 @@
 
 namespace guavavalve {
 
-/// What an instance tells the controller from time to time: that it is there.
+/// Sent by each instance to the controller at regular intervals while it is running.
 struct PresenceReport
 {
     InstanceId instance;
     std::string address; ///< "ip:port" of its messenger
-    bool holdsReplica = false; ///< it has a disk and may be a member of the group
+    bool holdsReplica = false; ///< has a disk and can become a member of the group
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -24,7 +24,7 @@
     }
 };
 
-/// The controller's answer: where the group's members are.
+/// The controller's reply: the addresses of the group's members.
 struct PresenceReply
 {
     std::string controller; ///< messenger address of the controller
--- a/src/replicas/presencetable.cpp
+++ b/src/replicas/presencetable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t maxEntries = 4096; ///< above what one group's instances can be
-constexpr Milliseconds forgetAfter{60000};
+constexpr std::size_t maxEntries = 4096; ///< more than the instances of one group
+constexpr Milliseconds entryLifetime{60000};
 
 } // namespace
 
@@ -20,8 +20,8 @@
     const Instant now = this->clock();
     const std::lock_guard lock(this->mutex);
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
-        const bool isOld = now > entry->second.heardAt + forgetAfter;
-        entry = isOld ? this->entries.erase(entry) : std::next(entry);
+        const bool isExpired = now > entry->second.heardAt + entryLifetime;
+        entry = isExpired ? this->entries.erase(entry) : std::next(entry);
     }
     if (this->entries.size() < maxEntries || this->entries.count(report.instance) != 0)
         this->entries[report.instance] = {report, now};
--- a/src/replicas/presencetable.h
+++ b/src/replicas/presencetable.h
@@ -9,14 +9,14 @@
 
 namespace guavavalve {
 
-/// The instances that have lately said that they are there. Thread safe.
+/// The latest presence report of each instance. Thread-safe.
 class PresenceTable
 {
 public:
     explicit PresenceTable(Clock clock = monotonicNow);
 
     void record(const PresenceReport &report);
-    /// Those heard within \a within, by instance.
+    /// The reports received within the last \a within, ordered by instance.
     std::vector<PresenceReport> present(Milliseconds within) const;
 
 private:
--- a/src/replicas/raftdriver.cpp
+++ b/src/replicas/raftdriver.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <utility>
 
-// Starting, stopping, and what other threads bring in.
+// Start, stop, and the calls from other threads.
 
 namespace guavavalve::internal {
 
@@ -41,14 +41,15 @@
     return core;
 }
 
-Error diskIsFull()
+Error diskFullError()
 {
     return failure(ErrorCode::Unavailable, "this replica's disk is full");
 }
 
-void stopProcess(const Error &error)
+void abortProcess(const Error &error)
 {
-    std::fprintf(stderr, "the replicated log must stop the process: %s\n", error.message.c_str());
+    std::fprintf(stderr, "replicated log: unrecoverable error, aborting the process: %s\n",
+                 error.message.c_str());
     std::abort();
 }
 
@@ -65,7 +66,7 @@
     if (!this->options.random)
         this->options.random = secureRandom();
     if (!this->options.onStorageFailure)
-        this->options.onStorageFailure = stopProcess;
+        this->options.onStorageFailure = abortProcess;
 }
 
 RaftDriver::~RaftDriver() = default;
@@ -85,13 +86,13 @@
     this->core =
         std::make_unique<RaftCore>(coreOptions(this->options), state, this->options.clock());
     this->bytesSinceSnapshot = this->core->entries().bytes();
-    this->publish();
+    this->publishStatus();
     this->running = true;
     const std::weak_ptr<RaftDriver> weak = this->weak_from_this();
     this->applier.start(
         applied,
         [this] {
-            // Wakes the log's thread; it looks at applied() itself.
+            // Wakes the log's thread, which reads applied() itself.
             this->post([] {});
         },
         [this](const Error &error) { this->options.onStorageFailure(error); });
@@ -117,8 +118,8 @@
     if (this->thread.joinable())
         this->thread.join();
     this->leaseUntil = 0;
-    this->failWaiting(leadershipLost());
-    for (const Done<Nothing> &done : std::exchange(this->transferring, {}))
+    this->failPending(leadershipLostError());
+    for (const Done<Nothing> &done : std::exchange(this->pendingTransfers, {}))
         done(failure(ErrorCode::Unavailable, "this replica is stopping"));
     if (this->announcedTerm != 0)
         this->applier.push(Applier::Leadership{false, std::exchange(this->announcedTerm, 0)});
@@ -136,11 +137,12 @@
     this->replies.clear();
 }
 
-bool RaftDriver::post(Task task, Urgency urgency)
+bool RaftDriver::post(Task task, OverflowPolicy overflowPolicy)
 {
     {
         const std::lock_guard lock(this->mutex);
-        const bool isFull = urgency == Urgency::Droppable && this->tasks.size() >= maxQueuedTasks;
+        const bool isFull =
+            overflowPolicy == OverflowPolicy::Reject && this->tasks.size() >= maxQueuedTasks;
         if (!this->running || this->stopping || isFull)
             return false;
         this->tasks.push_back(std::move(task));
@@ -162,26 +164,27 @@
             return;
         }
         const std::uint64_t token = ++this->lastToken;
-        if (this->isOverfull) {
-            reply(diskIsFull());
+        if (this->exceedsUnsavedLimit) {
+            reply(diskFullError());
             return;
         }
         this->replies.emplace(token, std::move(reply));
         this->core->receive(std::move(message), token, this->options.clock());
     };
     if (!this->post(std::move(task)))
-        reply(failure(ErrorCode::Unavailable, "this replica is stopping or overloaded"));
+        reply(
+            failure(ErrorCode::Unavailable, "this replica is stopping or its task queue is full"));
 }
 
 void RaftDriver::propose(std::string command, Done<std::string> done)
 {
     const std::size_t bytes = command.size();
     if (bytes > this->options.maxCommandBytes) {
-        done(failure(ErrorCode::InvalidArgument, "the command is larger than a command may be"));
+        done(failure(ErrorCode::InvalidArgument, "the command exceeds the maximum command size"));
         return;
     }
-    // Guards against memory that grows without bound while commits stall: commands that cannot
-    // be queued are refused at once, and truly not proposed.
+    // Bounds the memory in use while commits stall: commands that cannot be queued are rejected
+    // immediately and are guaranteed not to be proposed.
     const std::size_t countBefore = this->unappliedCount.fetch_add(1);
     const std::size_t bytesBefore = this->unappliedBytes.fetch_add(bytes);
     const bool isFull = countBefore >= this->options.maxQueuedProposals
@@ -210,13 +213,13 @@
 
 void RaftDriver::run()
 {
-    const Microseconds longest = this->options.heartbeat / 4;
+    const Microseconds maxWait = this->options.heartbeat / 4;
     while (true) {
         std::vector<Task> work;
         std::vector<Proposal> proposed;
         {
             std::unique_lock lock(this->mutex);
-            this->changed.wait_for(lock, longest, [this] {
+            this->changed.wait_for(lock, maxWait, [this] {
                 return this->stopping || !this->tasks.empty() || !this->proposals.empty();
             });
             if (this->stopping)
@@ -231,17 +234,18 @@
         }
         for (const Task &task : work)
             task();
-        if (this->isOverfull) {
-            // The rest of the group goes on without this replica, as if it were cut off.
+        if (this->exceedsUnsavedLimit) {
+            // The rest of the group continues without this replica, as if it were partitioned.
             for (const Proposal &proposal : proposed)
-                proposal.done(diskIsFull());
+                proposal.done(diskFullError());
             this->storeUnsaved();
             continue;
         }
-        // After the messages: a thread that was held up must not take its own delay for silence.
+        // Ticks only after the messages have been handled: a thread that was delayed must not
+        // mistake its own delay for a missing heartbeat.
         this->core->tick(this->options.clock());
         this->takeProposals(std::move(proposed));
-        this->pump();
+        this->processOutput();
     }
 }
 
@@ -250,22 +254,22 @@
     for (Proposal &proposal : proposed) {
         auto index = this->core->propose(std::move(proposal.command));
         if (index) {
-            this->waiting.emplace(index.value(),
-                                  Waiting{this->core->term(), std::move(proposal.done)});
+            this->pendingProposals.emplace(
+                index.value(), PendingProposal{this->core->term(), std::move(proposal.done)});
             continue;
         }
         Error error = index.error();
         if (error.code == ErrorCode::NotLeader) {
             const std::lock_guard lock(this->mutex);
             if (!this->published.leader.empty())
-                error.message += "; " + this->published.leader + " does";
+                error.message += "; the leader is " + this->published.leader;
         }
         proposal.done(std::move(error));
     }
 }
 
-/// Guards against answering for what is not on the disk: after a failed write or sync nothing
-/// more is sent or acknowledged, and the process is told to stop.
+/// Guards against acknowledging data that is not on the disk: after a failed write or sync nothing
+/// more is sent or acknowledged, and onStorageFailure asks the process to stop.
 void RaftDriver::fail(const Error &error)
 {
     this->hasFailed = true;
--- a/src/replicas/raftdriver.h
+++ b/src/replicas/raftdriver.h
@@ -24,7 +24,8 @@
 
 namespace guavavalve::internal {
 
-/// The log's thread of one replica: takes what has come in, steps the core, stores and sends.
+/// Runs the log's thread of one replica: feeds received messages, proposals and ticks to RaftCore,
+/// then stores and sends what it outputs.
 class RaftDriver : public std::enable_shared_from_this<RaftDriver>
 {
 public:
@@ -51,61 +52,62 @@
         std::string command;
         Done<std::string> done;
     };
-    struct Joining
+    struct PendingJoin
     {
         ReplicaId replica = ReplicaId::None;
         Done<Nothing> done;
     };
-    /// A command made here and not yet committed.
-    struct Waiting
+    /// A command proposed on this replica and not yet committed.
+    struct PendingProposal
     {
         std::uint64_t term = 0;
         Done<std::string> done;
     };
-    struct Forming;
+    struct PendingFormation;
     using Task = std::function<void()>;
-    /// Whether a task may be refused when many are queued.
-    enum class Urgency : std::uint8_t { Droppable, Kept };
+    /// What to do with a task when the task queue is full.
+    enum class OverflowPolicy : std::uint8_t { Reject, Accept };
 
-    // Other threads.
-    bool post(Task task, Urgency urgency = Urgency::Droppable);
+    // Called from other threads.
+    bool post(Task task, OverflowPolicy overflowPolicy = OverflowPolicy::Reject);
     void receive(const std::string &bytes, Done<std::string> reply);
     void onReply(ReplicaId to, bool isFlowControlled, Result<std::string> reply);
 
-    // The log's thread: raftdriver.cpp, raftdriversend.cpp, raftdriverstate.cpp
+    // Called on the log's thread; defined in raftdriver.cpp, raftdriversend.cpp and
+    // raftdriverstate.cpp.
     void run();
     void takeProposals(std::vector<Proposal> proposals);
-    void pump();
-    void carryOut(RaftOutput output);
+    void processOutput();
+    void storeAndSend(RaftOutput output);
     UnsavedOutput::Hooks outputHooks();
     void storeUnsaved();
     Result<void> releaseSegments(LogIndex through);
-    void handOverIfFull();
+    void transferLeadershipIfDiskFull();
     void send(std::vector<OutgoingMessage> &messages);
     void sendRequest(OutgoingMessage outgoing);
-    void answerLeftovers();
-    void handOutCommitted();
-    void watchLeadership();
-    void publish();
-    void considerSnapshot();
+    void rejectUnanswered();
+    void enqueueCommitted();
+    void updateLeadership();
+    void publishStatus();
+    void takeSnapshotIfDue();
     void saveSnapshot(SnapshotMeta meta, const std::string &state);
-    static Error leadershipLost();
-    void failWaiting(const Error &error);
+    static Error leadershipLostError();
+    void failPending(const Error &error);
     void fail(const Error &error);
 
-    // The log's thread: raftdrivermembers.cpp
+    // Called on the log's thread; defined in raftdrivermembers.cpp.
     void identify(const std::string &address, const IdentifyRequest &request,
                   const std::function<void(Result<IdentityReply>)> &done);
     void onIdentifyRequest(const RaftMessage &message, const IdentifyRequest &request,
                            const Done<std::string> &reply);
-    void onFormingMember(const std::shared_ptr<Forming> &forming, std::size_t position,
-                         const Result<IdentityReply> &found);
-    void releaseMembers(const std::shared_ptr<Forming> &forming);
-    void formWhenIdentified(const std::shared_ptr<Forming> &forming);
+    void onMemberIdentified(const std::shared_ptr<PendingFormation> &pending, std::size_t position,
+                            const Result<IdentityReply> &found);
+    void releaseMembers(const std::shared_ptr<PendingFormation> &pending);
+    void formWhenIdentified(const std::shared_ptr<PendingFormation> &pending);
     void join(const ReplicaMember &member, const IdentityReply &found, ReplicaId replaces,
               Done<Nothing> done);
-    void settleMembers();
-    void replaceGoneVoter();
+    void completeMembershipChanges();
+    void replaceUnresponsiveVoter();
 
     RaftOptions options;
     std::unique_ptr<Storage> storage;
@@ -126,24 +128,24 @@
     std::atomic<std::size_t> unappliedCount{0};
     std::atomic<std::size_t> unappliedBytes{0};
 
-    // Only the log's thread touches what follows.
+    // The members below are accessed only by the log's thread.
     UnsavedOutput unsaved;
-    bool isRefused = false; ///< by the disk, at the last try
-    bool isOverfull = false; ///< more is unsaved than may be
-    Instant nextStore{}; ///< a disk that has refused is tried again then
-    Instant nextSnapshot{}; ///< the same for a snapshot
+    bool isWriteRefused = false; ///< the last attempt to store was refused by the disk
+    bool exceedsUnsavedLimit = false; ///< RaftOptions::maxUnsavedBytes is exceeded
+    Instant nextStoreAttempt{}; ///< earliest retry of a store that the disk refused
+    Instant nextSnapshotAttempt{}; ///< earliest retry of a snapshot that the disk refused
     std::uint64_t lastToken = 0;
     std::map<std::uint64_t, Done<std::string>> replies;
-    std::map<LogIndex, Waiting> waiting;
-    std::vector<Joining> joining;
-    std::vector<Done<Nothing>> transferring;
-    std::uint64_t ledTerm = 0; ///< the term in which this replica leads; zero: it does not
-    std::uint64_t announcedTerm = 0; ///< the term that onLeadership was told; zero: none
+    std::map<LogIndex, PendingProposal> pendingProposals;
+    std::vector<PendingJoin> pendingJoins;
+    std::vector<Done<Nothing>> pendingTransfers;
+    std::uint64_t ledTerm = 0; ///< term in which this replica leads; zero: it does not lead
+    std::uint64_t announcedTerm = 0; ///< term reported to onLeadership as led; zero: none
     std::size_t sparesTried = 0;
     Instant nextReplacement{};
-    std::uint64_t reservedFor = 0;
+    std::uint64_t reservedForFormation = 0;
     Instant reservedUntil{};
-    bool takesSnapshot = false;
+    bool isTakingSnapshot = false;
     bool hasFailed = false;
     std::size_t bytesSinceSnapshot = 0;
     std::thread thread;
--- a/src/replicas/raftdrivermembers.cpp
+++ b/src/replicas/raftdrivermembers.cpp
@@ -5,20 +5,21 @@
 #include <algorithm>
 #include <utility>
 
-// Formation and membership as operators ask for them.
+// Formation of the group and changes of its membership.
 
 namespace guavavalve::internal {
 
 namespace {
 
-constexpr Milliseconds identifyLimit{1000};
-/// Longer than any formation takes; a formation that broke off frees its members after this.
-constexpr Milliseconds reservationTime{10000};
+constexpr Milliseconds identifyTimeout{1000};
+/// Longer than any formation takes. Members reserved by a formation that was abandoned become free
+/// after this time.
+constexpr Milliseconds reservationTimeout{10000};
 
 } // namespace
 
-/// A formation that waits for the other members to say who they are.
-struct RaftDriver::Forming
+/// A formation that waits until the other members have identified themselves.
+struct RaftDriver::PendingFormation
 {
     MemberList list;
     std::size_t awaited = 0;
@@ -34,19 +35,20 @@
     message.formation = this->core->formation();
     message.from = this->core->self();
     message.body = request;
-    const Instant deadline = this->options.clock() + identifyLimit;
+    const Instant deadline = this->options.clock() + identifyTimeout;
     auto answered = [weak = this->weak_from_this(), done](Result<std::string> reply) {
         const auto self = weak.lock();
         if (!self)
             return;
-        Result<IdentityReply> found = failure(ErrorCode::Corrupt, "not a replica's answer");
+        Result<IdentityReply> found =
+            failure(ErrorCode::Corrupt, "the reply does not identify a replica");
         if (!reply) {
             found = reply.error();
         } else if (auto decoded = decode<RaftMessage>(reply.value())) {
             if (const auto *identity = std::get_if<IdentityReply>(&decoded.value().body))
                 found = *identity;
         }
-        self->post([done, found] { done(found); }, Urgency::Kept);
+        self->post([done, found] { done(found); }, OverflowPolicy::Accept);
     };
     this->router.messenger().call(address, Method::AppendEntries, encode(message), deadline,
                                   std::move(answered));
@@ -56,12 +58,12 @@
                                    const Done<std::string> &reply)
 {
     const Instant now = this->options.clock();
-    if (request.release != 0 && request.release == this->reservedFor)
-        this->reservedFor = 0;
-    const bool isFree = this->reservedFor == 0 || now >= this->reservedUntil;
-    if (request.reserveFor != 0 && !this->core->isFormed() && isFree) {
-        this->reservedFor = request.reserveFor;
-        this->reservedUntil = now + reservationTime;
+    if (request.releaseFormation != 0 && request.releaseFormation == this->reservedForFormation)
+        this->reservedForFormation = 0;
+    const bool isFree = this->reservedForFormation == 0 || now >= this->reservedUntil;
+    if (request.reserveForFormation != 0 && !this->core->isFormed() && isFree) {
+        this->reservedForFormation = request.reserveForFormation;
+        this->reservedUntil = now + reservationTimeout;
     }
     RaftMessage answer;
     answer.group = this->options.group;
@@ -70,117 +72,118 @@
     answer.to = message.from;
     answer.term = this->core->term();
     answer.body = IdentityReply{this->options.instance, this->core->self(), this->core->formation(),
-                                this->reservedFor};
+                                this->reservedForFormation};
     reply(encode(answer));
 }
 
 void RaftDriver::form(std::vector<ReplicaMember> members, const Done<Nothing> &done)
 {
-    auto forming = std::make_shared<Forming>();
-    forming->done = done;
-    const bool isPosted = this->post([this, forming, members = std::move(members)] {
+    auto pending = std::make_shared<PendingFormation>();
+    pending->done = done;
+    const bool isPosted = this->post([this, pending, members = std::move(members)] {
         if (this->core->isFormed()) {
-            forming->done(failure(ErrorCode::Conflict, "the group has been formed already"));
+            pending->done(failure(ErrorCode::Conflict, "the group is already formed"));
             return;
         }
         const Instant now = this->options.clock();
-        if (this->reservedFor != 0 && now < this->reservedUntil) {
-            forming->done(failure(ErrorCode::Conflict, "another formation is under way here"));
+        if (this->reservedForFormation != 0 && now < this->reservedUntil) {
+            pending->done(
+                failure(ErrorCode::Conflict, "this replica is reserved for another formation"));
             return;
         }
         do {
-            forming->list.formation = this->options.random();
-        } while (forming->list.formation == 0);
-        this->reservedFor = forming->list.formation;
-        this->reservedUntil = now + reservationTime;
+            pending->list.formation = this->options.random();
+        } while (pending->list.formation == 0);
+        this->reservedForFormation = pending->list.formation;
+        this->reservedUntil = now + reservationTimeout;
         std::vector<std::pair<std::size_t, std::string>> others;
         for (const ReplicaMember &member : members) {
             const bool isSelf = member.instance == this->options.instance;
             const ReplicaId replica = isSelf ? this->core->self() : ReplicaId::None;
             if (!isSelf)
-                others.emplace_back(forming->list.members.size(), member.address);
-            forming->list.members.push_back({member.instance, replica, member.address, true});
+                others.emplace_back(pending->list.members.size(), member.address);
+            pending->list.members.push_back({member.instance, replica, member.address, true});
         }
-        forming->awaited = others.size();
+        pending->awaited = others.size();
         for (const auto &[position, address] : others) {
-            this->identify(address, IdentifyRequest{forming->list.formation, 0},
-                           [this, forming, at = position](const Result<IdentityReply> &found) {
-                               this->onFormingMember(forming, at, found);
+            this->identify(address, IdentifyRequest{pending->list.formation, 0},
+                           [this, pending, at = position](const Result<IdentityReply> &found) {
+                               this->onMemberIdentified(pending, at, found);
                            });
         }
         if (others.empty())
-            this->formWhenIdentified(forming);
+            this->formWhenIdentified(pending);
     });
     if (!isPosted)
         done(failure(ErrorCode::Unavailable, "this replica is not running"));
 }
 
-/// Every member must answer, be unformed, and keep itself for this formation: two operators who
-/// form overlapping groups at the same time cannot both succeed.
-void RaftDriver::onFormingMember(const std::shared_ptr<Forming> &forming, std::size_t position,
-                                 const Result<IdentityReply> &found)
+/// Every member must answer, must not belong to a group yet, and must be reserved for this
+/// formation, so that two concurrent formations with common members cannot both succeed.
+void RaftDriver::onMemberIdentified(const std::shared_ptr<PendingFormation> &pending,
+                                    std::size_t position, const Result<IdentityReply> &found)
 {
-    MemberRecord &member = forming->list.members[position];
+    MemberRecord &member = pending->list.members[position];
     if (!found) {
-        forming->outcome = failure(ErrorCode::Unavailable,
+        pending->outcome = failure(ErrorCode::Unavailable,
                                    member.instance + " at " + member.address
-                                       + " does not answer: " + found.error().message);
+                                       + " did not answer: " + found.error().message);
     } else if (found.value().instance != member.instance) {
-        forming->outcome = failure(ErrorCode::InvalidArgument,
-                                   "at " + member.address + " there is " + found.value().instance
-                                       + ", not " + member.instance);
+        pending->outcome = failure(ErrorCode::InvalidArgument,
+                                   "the instance at " + member.address + " is "
+                                       + found.value().instance + ", not " + member.instance);
     } else if (found.value().formation != 0) {
-        forming->outcome =
-            failure(ErrorCode::Conflict, member.instance + " belongs to a formed group already");
-    } else if (found.value().reservedFor != forming->list.formation) {
-        forming->outcome =
-            failure(ErrorCode::Conflict, "another formation is under way at " + member.instance);
+        pending->outcome =
+            failure(ErrorCode::Conflict, member.instance + " already belongs to a formed group");
+    } else if (found.value().reservedForFormation != pending->list.formation) {
+        pending->outcome =
+            failure(ErrorCode::Conflict, member.instance + " is reserved for another formation");
     } else {
         member.replica = found.value().replica;
     }
-    if (--forming->awaited == 0)
-        this->formWhenIdentified(forming);
+    if (--pending->awaited == 0)
+        this->formWhenIdentified(pending);
 }
 
-void RaftDriver::formWhenIdentified(const std::shared_ptr<Forming> &forming)
+void RaftDriver::formWhenIdentified(const std::shared_ptr<PendingFormation> &pending)
 {
-    if (!forming->outcome) {
-        this->reservedFor = 0;
-        this->releaseMembers(forming);
+    if (!pending->outcome) {
+        this->reservedForFormation = 0;
+        this->releaseMembers(pending);
         return;
     }
-    auto index = this->core->form(forming->list, this->options.clock());
+    auto index = this->core->form(pending->list, this->options.clock());
     if (!index) {
-        forming->done(index.error());
+        pending->done(index.error());
         return;
     }
-    this->waiting.emplace(index.value(),
-                          Waiting{this->core->term(), [forming](Result<std::string> outcome) {
-                                      if (outcome)
-                                          forming->done(Nothing{});
-                                      else
-                                          forming->done(outcome.error());
-                                  }});
+    this->pendingProposals.emplace(
+        index.value(), PendingProposal{this->core->term(), [pending](Result<std::string> outcome) {
+                                           if (outcome)
+                                               pending->done(Nothing{});
+                                           else
+                                               pending->done(outcome.error());
+                                       }});
 }
 
-/// Guards against members that go on keeping themselves for a formation that has failed, which
-/// shows as every retry being refused. Whoever asked is answered once they are free; a member
-/// that does not hear of it is free when its reservation runs out.
-void RaftDriver::releaseMembers(const std::shared_ptr<Forming> &forming)
+/// Guards against members that stay reserved for a failed formation and so reject every retry. The
+/// caller is answered once they have been released; a member that the release does not reach
+/// becomes free when its reservation expires.
+void RaftDriver::releaseMembers(const std::shared_ptr<PendingFormation> &pending)
 {
     std::vector<std::string> reserved;
-    for (const MemberRecord &member : forming->list.members) {
+    for (const MemberRecord &member : pending->list.members) {
         if (member.instance != this->options.instance && member.replica != ReplicaId::None)
             reserved.push_back(member.address);
     }
-    forming->awaited = reserved.size();
+    pending->awaited = reserved.size();
     if (reserved.empty())
-        forming->done(forming->outcome.error());
+        pending->done(pending->outcome.error());
     for (const std::string &address : reserved) {
-        this->identify(address, IdentifyRequest{0, forming->list.formation},
-                       [forming](const Result<IdentityReply> &) {
-                           if (--forming->awaited == 0)
-                               forming->done(forming->outcome.error());
+        this->identify(address, IdentifyRequest{0, pending->list.formation},
+                       [pending](const Result<IdentityReply> &) {
+                           if (--pending->awaited == 0)
+                               pending->done(pending->outcome.error());
                        });
     }
 }
@@ -209,7 +212,7 @@
 {
     if (found.instance != member.instance) {
         done(failure(ErrorCode::InvalidArgument,
-                     "at " + member.address + " there is " + found.instance + ", not "
+                     "the instance at " + member.address + " is " + found.instance + ", not "
                          + member.instance));
         return;
     }
@@ -220,7 +223,7 @@
     auto index =
         this->core->addLearner({member.instance, found.replica, member.address, false, replaces});
     if (index)
-        this->joining.push_back({found.replica, std::move(done)});
+        this->pendingJoins.push_back({found.replica, std::move(done)});
     else
         done(index.error());
 }
@@ -233,13 +236,13 @@
             done(index.error());
             return;
         }
-        this->waiting.emplace(index.value(),
-                              Waiting{this->core->term(), [done](Result<std::string> outcome) {
-                                          if (outcome)
-                                              done(Nothing{});
-                                          else
-                                              done(outcome.error());
-                                      }});
+        this->pendingProposals.emplace(
+            index.value(), PendingProposal{this->core->term(), [done](Result<std::string> outcome) {
+                                               if (outcome)
+                                                   done(Nothing{});
+                                               else
+                                                   done(outcome.error());
+                                           }});
     });
     if (!isPosted)
         done(failure(ErrorCode::Unavailable, "this replica is not running"));
@@ -250,7 +253,7 @@
     const bool isPosted = this->post([this, done] {
         auto begun = this->core->transferLeadership(this->options.clock());
         if (begun)
-            this->transferring.push_back(done);
+            this->pendingTransfers.push_back(done);
         else
             done(begun.error());
     });
@@ -258,40 +261,42 @@
         done(failure(ErrorCode::Unavailable, "this replica is not running"));
 }
 
-void RaftDriver::settleMembers()
+void RaftDriver::completeMembershipChanges()
 {
-    auto settled =
-        std::partition(this->joining.begin(), this->joining.end(), [&](const Joining &joiner) {
+    auto firstCompleted = std::partition(
+        this->pendingJoins.begin(), this->pendingJoins.end(), [&](const PendingJoin &joiner) {
             const MemberList &now = this->core->members();
             return now.find(joiner.replica) != nullptr
                 && !this->core->committedMembers().isVoter(joiner.replica);
         });
-    std::vector<Joining> over(std::make_move_iterator(settled),
-                              std::make_move_iterator(this->joining.end()));
-    this->joining.erase(settled, this->joining.end());
-    for (const Joining &joiner : over) {
+    std::vector<PendingJoin> completed(std::make_move_iterator(firstCompleted),
+                                       std::make_move_iterator(this->pendingJoins.end()));
+    this->pendingJoins.erase(firstCompleted, this->pendingJoins.end());
+    for (const PendingJoin &joiner : completed) {
         if (this->core->committedMembers().isVoter(joiner.replica))
             joiner.done(Nothing{});
         else
-            joiner.done(failure(ErrorCode::Conflict, "it was removed again meanwhile"));
+            joiner.done(
+                failure(ErrorCode::Conflict, "the member was removed before it became a voter"));
     }
     if (this->core->isTransferring() || this->core->role() != ReplicaRole::Leader)
         return;
-    for (const Done<Nothing> &done : std::exchange(this->transferring, {}))
-        done(failure(ErrorCode::Unavailable, "the successor did not take over in time"));
+    for (const Done<Nothing> &done : std::exchange(this->pendingTransfers, {}))
+        done(failure(ErrorCode::Unavailable, "no other replica took over leadership in time"));
 }
 
-/// Guards against a group that stays one loss away from standing still: a voter that is gone for
-/// good would count against every quorum until an operator looked. A spare joins as a learner;
-/// once it has synced everything the lost one goes and the spare becomes a voter.
-void RaftDriver::replaceGoneVoter()
+/// Replaces a voter that is gone for good, which would otherwise count against every quorum, and
+/// could leave the group one loss away from unavailability, until an operator intervened. A spare
+/// joins as a learner; once it has synced the whole log, the lost voter is removed and the spare
+/// becomes a voter.
+void RaftDriver::replaceUnresponsiveVoter()
 {
     const Instant now = this->options.clock();
     const bool isConfigured =
         this->options.goneAfter > Milliseconds(0) && this->options.spares != nullptr;
     if (!isConfigured || this->ledTerm == 0 || now < this->nextReplacement)
         return;
-    this->nextReplacement = now + 2 * identifyLimit;
+    this->nextReplacement = now + 2 * identifyTimeout;
     const auto gone = this->core->findUnresponsiveVoter(this->options.goneAfter);
     if (!gone)
         return;
--- a/src/replicas/raftdriversend.cpp
+++ b/src/replicas/raftdriversend.cpp
@@ -5,14 +5,14 @@
 #include <optional>
 #include <utility>
 
-// What the core wants stored and sent.
+// Storing and sending the core's output.
 
 namespace guavavalve::internal {
 
 namespace {
 
-/// Before a disk that has refused a write is tried again.
-constexpr Milliseconds refusalPause{100};
+/// Delay before a write that the disk refused is retried.
+constexpr Milliseconds storeRetryDelay{100};
 
 Method methodOf(const RaftMessage &message)
 {
@@ -27,30 +27,30 @@
 
 } // namespace
 
-void RaftDriver::pump()
+void RaftDriver::processOutput()
 {
     RaftOutput output = this->core->takeOutput();
     while (!output.isEmpty() && !this->hasFailed) {
-        this->carryOut(std::move(output));
+        this->storeAndSend(std::move(output));
         output = this->core->takeOutput();
     }
     if (!this->hasFailed)
         this->storeUnsaved();
     if (this->hasFailed)
         return;
-    this->answerLeftovers();
-    this->handOverIfFull();
+    this->rejectUnanswered();
+    this->transferLeadershipIfDiskFull();
     if (!this->unsaved.holdsSnapshot())
-        this->handOutCommitted();
-    this->watchLeadership();
+        this->enqueueCommitted();
+    this->updateLeadership();
     if (this->unsaved.isEmpty())
-        this->considerSnapshot();
-    this->settleMembers();
-    this->replaceGoneVoter();
-    this->publish();
+        this->takeSnapshotIfDue();
+    this->completeMembershipChanges();
+    this->replaceUnresponsiveVoter();
+    this->publishStatus();
 }
 
-void RaftDriver::carryOut(RaftOutput output)
+void RaftDriver::storeAndSend(RaftOutput output)
 {
     for (const LogEntry &entry : output.batch.entries)
         this->bytesSinceSnapshot += entryBytes(entry);
@@ -58,7 +58,8 @@
         this->fail(*output.fault);
         return;
     }
-    // Before anything is sent that could let another lead: a vote, or a successor's call.
+    // The lease ends before a message is sent that could let another replica lead: a vote, or a
+    // TimeoutNow to the successor.
     if (this->core->leaseUntil() == Instant{})
         this->leaseUntil = 0;
     this->unsaved.add(std::move(output), this->outputHooks());
@@ -78,27 +79,27 @@
     return hooks;
 }
 
-/// Stores what waits for the disk, unless it has refused a moment ago.
+/// Stores the unsaved output, unless the disk refused a write less than storeRetryDelay ago.
 void RaftDriver::storeUnsaved()
 {
-    if (this->unsaved.isEmpty() || this->options.clock() < this->nextStore)
+    if (this->unsaved.isEmpty() || this->options.clock() < this->nextStoreAttempt)
         return;
     const auto stored = this->unsaved.store(*this->storage, this->outputHooks());
     if (!stored && stored.error().code != ErrorCode::WriteRefused) {
         this->fail(stored.error());
         return;
     }
-    this->isOverfull = this->unsaved.bytes() > this->options.maxUnsavedBytes;
+    this->exceedsUnsavedLimit = this->unsaved.bytes() > this->options.maxUnsavedBytes;
     if (stored)
         this->core->persisted();
     else
-        this->nextStore = this->options.clock() + refusalPause;
-    const bool wasRefused = std::exchange(this->isRefused, !stored);
-    if (wasRefused != this->isRefused && this->options.onDiskRefusal)
+        this->nextStoreAttempt = this->options.clock() + storeRetryDelay;
+    const bool wasRefused = std::exchange(this->isWriteRefused, !stored);
+    if (wasRefused != this->isWriteRefused && this->options.onDiskRefusal)
         this->options.onDiskRefusal(stored ? std::nullopt : std::optional<Error>(stored.error()));
 }
 
-/// Files that a full disk does not let go of go with the next snapshot.
+/// Segments that a full disk refuses to release are released after the next snapshot.
 Result<void> RaftDriver::releaseSegments(LogIndex through)
 {
     auto released = this->storage->release(through);
@@ -107,13 +108,13 @@
     return released;
 }
 
-/// A leader whose disk refuses for long lets another lead while it still can.
-void RaftDriver::handOverIfFull()
+/// Transfers leadership when half of the unsaved limit is reached, while the leader still works.
+void RaftDriver::transferLeadershipIfDiskFull()
 {
     const bool isLong = this->unsaved.bytes() > this->options.maxUnsavedBytes / 2;
     if (!isLong || this->core->role() != ReplicaRole::Leader || this->core->isTransferring())
         return;
-    // Without a successor at the moment it is tried again.
+    // If no follower can take over now, the next call tries again.
     (void)this->core->transferLeadership(this->options.clock());
 }
 
@@ -171,11 +172,11 @@
     });
 }
 
-/// A request that the core dropped gets an answer too, so that the sender need not wait.
-void RaftDriver::answerLeftovers()
+/// Answers the requests that the core dropped, so that their senders need not wait for a timeout.
+void RaftDriver::rejectUnanswered()
 {
     for (auto &[token, reply] : this->replies)
-        reply(failure(ErrorCode::Unavailable, "the replica could not use the message"));
+        reply(failure(ErrorCode::Unavailable, "the replica dropped the message"));
     this->replies.clear();
 }
 
--- a/src/replicas/raftdriverstate.cpp
+++ b/src/replicas/raftdriverstate.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-// What has been committed, who leads, and snapshots.
+// Committed entries, leadership and snapshots.
 
 namespace guavavalve::internal {
 
@@ -14,23 +14,25 @@
 
 constexpr std::size_t maxApplyBytes = 16U << 20U;
 constexpr std::size_t applyBatchBytes = 1U << 20U;
-/// Snapshots wait while one is being sent, but not until the log is this much too long.
-constexpr std::size_t snapshotPatience = 4;
-/// Before a snapshot that the disk refused is taken again: it takes longer to make than a record.
-constexpr Milliseconds snapshotPause{1000};
+/// A due snapshot is postponed while one is being sent, until the log exceeds its limit this many
+/// times.
+constexpr std::size_t forcedSnapshotFactor = 4;
+/// Delay before a snapshot that the disk refused is taken again; longer than storeRetryDelay since
+/// a snapshot takes longer to produce than a log record.
+constexpr Milliseconds snapshotRetryDelay{1000};
 
 } // namespace
 
-Error RaftDriver::leadershipLost()
+Error RaftDriver::leadershipLostError()
 {
     Error error = failure(ErrorCode::Unavailable,
-                          "leadership was lost while the command was under way; it may yet be "
+                          "leadership was lost before the command was committed; it may still be "
                           "committed");
     error.ran = Ran::Unknown;
     return error;
 }
 
-void RaftDriver::handOutCommitted()
+void RaftDriver::enqueueCommitted()
 {
     while (this->applier.queuedBytes() < maxApplyBytes) {
         Applier::Batch batch;
@@ -38,26 +40,27 @@
         if (batch.entries.empty())
             return;
         for (const LogEntry &entry : batch.entries) {
-            const auto waiter = this->waiting.find(entry.index);
-            if (waiter == this->waiting.end() || waiter->second.term != entry.term)
+            const auto pending = this->pendingProposals.find(entry.index);
+            if (pending == this->pendingProposals.end() || pending->second.term != entry.term)
                 continue;
-            batch.waiting.emplace(entry.index, std::move(waiter->second.done));
-            this->waiting.erase(waiter);
+            batch.pendingProposals.emplace(entry.index, std::move(pending->second.done));
+            this->pendingProposals.erase(pending);
         }
         this->applier.push(std::move(batch));
     }
 }
 
-/// After handOutCommitted(): what was committed while this replica led is told as committed.
-void RaftDriver::watchLeadership()
+/// Called after enqueueCommitted(), so that proposals which were committed while this replica led
+/// are reported as committed.
+void RaftDriver::updateLeadership()
 {
     const bool leads = this->core->role() == ReplicaRole::Leader;
     const std::uint64_t term = leads ? this->core->term() : 0;
     if (term != this->ledTerm) {
         if (this->ledTerm != 0) {
             this->leaseUntil = 0;
-            this->failWaiting(leadershipLost());
-            for (const Done<Nothing> &done : std::exchange(this->transferring, {}))
+            this->failPending(leadershipLostError());
+            for (const Done<Nothing> &done : std::exchange(this->pendingTransfers, {}))
                 done(Nothing{});
         }
         this->ledTerm = term;
@@ -72,7 +75,7 @@
     }
 }
 
-void RaftDriver::publish()
+void RaftDriver::publishStatus()
 {
     ReplicaStatus status;
     status.role = this->core->role();
@@ -93,7 +96,7 @@
         }
         status.members.push_back(std::move(member));
     }
-    // Reads under the lease are current only once this term's first entry has been applied.
+    // Reads under the lease are current only after this term's first entry has been applied.
     const bool isCurrent =
         this->ledTerm != 0 && this->applier.applied() >= this->core->firstIndexOfTerm();
     this->leaseUntil = isCurrent ? this->core->leaseUntil().time_since_epoch().count() : 0;
@@ -109,31 +112,31 @@
     return status;
 }
 
-/// Guards against a process that was frozen and wakes as a leader of the past: the clock is read
-/// after the freeze, and the lease was counted from before it.
+/// Guards against a process that was suspended and resumes after another replica has become leader:
+/// the clock is read after the suspension, while the lease was granted before it.
 bool RaftDriver::holdsLeaderLease() const
 {
     const std::int64_t until = this->leaseUntil.load();
     return this->options.clock().time_since_epoch().count() < until;
 }
 
-void RaftDriver::considerSnapshot()
+void RaftDriver::takeSnapshotIfDue()
 {
     const LogIndex base = this->core->entries().baseIndex();
     const std::size_t entries = this->applier.applied() > base ? this->applier.applied() - base : 0;
     const std::size_t limit = this->options.snapshotAfterEntries + this->options.retainedEntries;
     const bool isLong =
         entries >= limit || this->bytesSinceSnapshot >= this->options.snapshotAfterBytes;
-    const bool isVeryLong = entries >= snapshotPatience * limit
-        || this->bytesSinceSnapshot >= snapshotPatience * this->options.snapshotAfterBytes;
-    if (this->takesSnapshot || !isLong || entries == 0
-        || this->options.clock() < this->nextSnapshot)
+    const bool isVeryLong = entries >= forcedSnapshotFactor * limit
+        || this->bytesSinceSnapshot >= forcedSnapshotFactor * this->options.snapshotAfterBytes;
+    if (this->isTakingSnapshot || !isLong || entries == 0
+        || this->options.clock() < this->nextSnapshotAttempt)
         return;
     if (this->core->isSendingSnapshot() && !isVeryLong)
         return;
-    this->takesSnapshot = true;
+    this->isTakingSnapshot = true;
     this->bytesSinceSnapshot = 0;
-    // The applier will have applied exactly what has been handed out by now.
+    // The applier takes the snapshot after it has applied exactly the entries delivered so far.
     SnapshotMeta meta;
     meta.index = this->core->lastDelivered();
     meta.term = this->core->entries().termAt(meta.index).value_or(0);
@@ -142,7 +145,7 @@
         [this, meta](const std::string &state) { this->saveSnapshot(meta, state); }});
 }
 
-/// Runs on the applier's thread: writing a large snapshot must not hold up heartbeats.
+/// Runs on the applier's thread, since writing a large snapshot must not delay heartbeats.
 void RaftDriver::saveSnapshot(SnapshotMeta meta, const std::string &state)
 {
     meta.size = state.size();
@@ -150,10 +153,10 @@
     const auto saved = this->storage->saveSnapshot(meta, state);
     this->post(
         [this, meta, saved] {
-            this->takesSnapshot = false;
+            this->isTakingSnapshot = false;
             if (!saved && saved.error().code == ErrorCode::WriteRefused) {
                 this->bytesSinceSnapshot += this->options.snapshotAfterBytes;
-                this->nextSnapshot = this->options.clock() + snapshotPause;
+                this->nextSnapshotAttempt = this->options.clock() + snapshotRetryDelay;
                 return;
             }
             if (!saved) {
@@ -164,14 +167,14 @@
             if (auto released = this->releaseSegments(meta.index); !released)
                 this->fail(released.error());
         },
-        Urgency::Kept);
+        OverflowPolicy::Accept);
 }
 
-void RaftDriver::failWaiting(const Error &error)
+void RaftDriver::failPending(const Error &error)
 {
-    for (auto &[index, waiter] : std::exchange(this->waiting, {}))
-        waiter.done(error);
-    for (Joining &joiner : std::exchange(this->joining, {}))
+    for (auto &[index, pending] : std::exchange(this->pendingProposals, {}))
+        pending.done(error);
+    for (PendingJoin &joiner : std::exchange(this->pendingJoins, {}))
         joiner.done(error);
 }
 
--- a/src/replicas/raftnode.h
+++ b/src/replicas/raftnode.h
@@ -16,19 +16,19 @@
 class RaftDriver;
 }
 
-/// One replica of one group: drives RaftCore with a journal, the messenger, a clock and a state
-/// machine, on two threads of its own (one for the log, one that applies).
+/// One replica of one group: connects RaftCore to a journal, the messenger, a clock and a state
+/// machine. Runs two threads, one for the log and one that applies committed entries.
 class RaftNode : public ReplicatedLog
 {
 public:
     RaftNode(RaftOptions options, std::unique_ptr<Storage> storage, GroupRouter &router,
              StateMachine &stateMachine);
-    /// Stops the replica. Proposals under way end with Unavailable and Ran::Unknown.
+    /// Stops the replica. Pending proposals fail with Unavailable and Ran::Unknown.
     ~RaftNode() override;
     RaftNode(const RaftNode &) = delete;
     RaftNode &operator=(const RaftNode &) = delete;
 
-    /// Reads the storage back, restores the state and starts the threads.
+    /// Recovers the storage, restores the state and starts the threads.
     /// \errors those of Storage::recover() and StateMachine::restoreSnapshot().
     Result<void> start();
     void stop();
@@ -45,8 +45,8 @@
     std::shared_ptr<internal::RaftDriver> driver;
 };
 
-/// Opens the group's journal under options.dataFolder and starts a replica on it. Called before
-/// the messenger starts, or after; \a router must outlive the node.
+/// Opens the group's journal under options.dataFolder and starts a replica on it. May be called
+/// before or after the messenger starts; \a router must outlive the node.
 Result<std::unique_ptr<RaftNode>> openRaftNode(RaftOptions options, GroupRouter &router,
                                                StateMachine &stateMachine);
 
--- a/src/replicas/replicatedlog.h
+++ b/src/replicas/replicatedlog.h
@@ -11,7 +11,7 @@
 
 namespace guavavalve {
 
-/// What a replica is in its group at the moment.
+/// The current role of a replica in its group.
 enum class ReplicaRole : std::uint8_t { Learner, Follower, Candidate, Leader };
 
 inline constexpr EnumNames<ReplicaRole, 4> replicaRoleNames{{
@@ -27,7 +27,7 @@
     InstanceId instance;
     std::string address; ///< "ip:port" of its messenger
     bool voter = false;
-    LogIndex matchIndex = 0; ///< known to be synced there; only the leader knows
+    LogIndex matchIndex = 0; ///< known to be synced there; only the leader knows that of others
 
     template<typename Archive>
     void serialize(Archive &archive)
@@ -40,7 +40,7 @@
 struct ReplicaStatus
 {
     ReplicaRole role = ReplicaRole::Follower;
-    bool formed = false; ///< false until the group's first formation or join has reached it
+    bool formed = false; ///< false until this replica has been formed into or added to a group
     std::uint64_t term = 0;
     InstanceId leader; ///< empty: unknown
     std::string leaderAddress; ///< empty: unknown
@@ -56,34 +56,36 @@
     }
 };
 
-/// One group's replicated log, as the controller uses it.
+/// One group's replicated log, as used by the controller.
 class ReplicatedLog
 {
 public:
     virtual ~ReplicatedLog() = default;
 
-    /// Replicates \a command and, when it has been committed by a quorum and applied here, hands
-    /// over what StateMachine::apply() returned. Commands proposed together share one sync.
-    /// \errors NotLeader, at once and truly not proposed; Unavailable with Ran::Unknown when
-    /// leadership was lost while the command was under way: it may yet be committed.
+    /// Replicates \a command. Once a quorum has committed it and it is applied here, \a done
+    /// receives the result of StateMachine::apply(). Commands proposed together share one sync.
+    /// \errors NotLeader, immediately, with the command guaranteed not to be proposed; Unavailable
+    /// with Ran::Unknown when leadership was lost before the command was known to be committed: it
+    /// may still be committed.
     virtual void propose(std::string command, Done<std::string> done) = 0;
 
     virtual ReplicaStatus status() const = 0;
 
-    /// True while no other replica can lead: a quorum has answered within the leader's lease, by
-    /// the monotonic clock read now. Reads served under it are current.
+    /// True while no other replica can lead: according to the monotonic clock, read during this
+    /// call, a quorum has answered within the leader's lease. Reads served under it are current.
     virtual bool holdsLeaderLease() const = 0;
 
-    /// Forms the group, once, from an operator's explicit command.
-    /// \errors Conflict if the group has been formed already.
+    /// Forms the group with \a members, once and only by this explicit call.
+    /// \errors Conflict if the group is already formed.
     virtual void form(std::vector<ReplicaMember> members, Done<Nothing> done) = 0;
 
-    /// Adds \a member as a learner, and makes it a voter once it has synced everything.
+    /// Adds \a member as a learner, and promotes it to a voter once it has synced the whole log.
     virtual void addMember(ReplicaMember member, Done<Nothing> done) = 0;
 
     virtual void removeMember(InstanceId instance, Done<Nothing> done) = 0;
 
-    /// Hands leadership to the most caught-up follower, as before a shutdown.
+    /// Transfers leadership to the follower with the highest match index, for example before a
+    /// shutdown.
     virtual void transferLeadership(Done<Nothing> done) = 0;
 };
 
--- a/src/replicas/securesession.cpp
+++ b/src/replicas/securesession.cpp
@@ -63,13 +63,13 @@
 Result<void> SecureSession::accept(std::string_view hello)
 {
     auto decoded = decode<Hello>(hello);
-    if (!decoded || decoded.value().mark != Hello::expectedMark)
-        return failure(ErrorCode::Corrupt, "the other side does not speak this protocol");
+    if (!decoded || decoded.value().magic != Hello::expectedMagic)
+        return failure(ErrorCode::Corrupt, "the peer's handshake is not of this protocol");
     const Hello &greeting = decoded.value();
     if (greeting.version != Hello::currentVersion)
-        return failure(ErrorCode::Conflict, "the other side speaks another version");
+        return failure(ErrorCode::Conflict, "the peer uses another protocol version");
     if (greeting.clusterId != this->clusterId)
-        return failure(ErrorCode::Conflict, "the other side belongs to another cluster");
+        return failure(ErrorCode::Conflict, "the peer belongs to another cluster");
     this->peerInstance = greeting.instance;
     const std::string_view own = this->ownHello;
     const auto caller = this->isCaller ? own : hello;
--- a/src/replicas/securesession.h
+++ b/src/replicas/securesession.h
@@ -12,12 +12,13 @@
 
 namespace guavavalve::internal {
 
-/// Seals and opens the frames of one connection.
+/// Encrypts and authenticates the frames of one connection.
 ///
-/// Each side sends a Hello with a fresh nonce. Keys, one a direction, are a keyed BLAKE2b hash of
-/// both hellos under the cluster's shared secret. Frames are ChaCha20-Poly1305 (libsodium) with
-/// the frame's number as nonce and its length as associated data. So a frame counts only on its
-/// own connection, in its own direction and at its own place: a replay fails to open.
+/// Each side sends a Hello with a fresh nonce. The keys, one per direction, are a keyed BLAKE2b
+/// hash of both hellos under the cluster's shared secret. Frames are ChaCha20-Poly1305 (libsodium)
+/// with the frame's sequence number as nonce and its length as associated data. A frame is
+/// therefore valid only on its own connection, in its own direction and at its own position: a
+/// replayed frame fails authentication.
 class SecureSession
 {
 public:
@@ -28,17 +29,17 @@
     SecureSession(const std::string &clusterId, const InstanceId &instance,
                   const std::string &secret, bool isCaller);
 
-    /// Own hello, with its length before it.
+    /// This side's hello with a length prefix.
     std::string hello() const;
-    /// Takes the other side's hello, without its length.
-    /// \errors Corrupt if it is not one; Conflict for another version or cluster.
+    /// Processes the peer's hello, without its length prefix, and derives the keys.
+    /// \errors Corrupt if it cannot be decoded; Conflict for another version or cluster.
     Result<void> accept(std::string_view hello);
-    /// Who the other side says it is; proved with its first frame.
+    /// The instance named in the peer's hello; not authenticated until its first frame opens.
     const InstanceId &peer() const { return this->peerInstance; }
 
-    /// \a plain as a frame, with its length before it.
+    /// Encrypts \a plain into a frame with a length prefix.
     std::string seal(std::string_view plain);
-    /// The content of a frame, without its length, or nothing if it is not authentic.
+    /// Decrypts a frame, without its length prefix; std::nullopt if it is not authentic.
     std::optional<std::string> open(std::string_view sealed);
 
 private:
--- a/src/replicas/statemachine.h
+++ b/src/replicas/statemachine.h
@@ -7,20 +7,20 @@
 
 namespace guavavalve {
 
-/// What the replicated log drives. Called by one thread at a time, in the order of the log.
+/// The state machine that the replicated log drives. Called by one thread at a time, in log order.
 class StateMachine
 {
 public:
     virtual ~StateMachine() = default;
 
-    /// Applies one committed \a command and returns its outcome, encoded. Deterministic: the
+    /// Applies one committed \a command and returns its encoded result. Must be deterministic: the
     /// same commands in the same order give the same state on every replica.
     virtual std::string apply(LogIndex index, const std::string &command) = 0;
 
-    /// The whole state as bytes that restoreSnapshot() takes.
+    /// Serialises the whole state in the form that restoreSnapshot() accepts.
     virtual std::string takeSnapshot() = 0;
 
-    /// Replaces the state. An error leaves the state as it was.
+    /// Replaces the state with that of \a snapshot. On error the state is unchanged.
     virtual Result<void> restoreSnapshot(const std::string &snapshot) = 0;
 };
 
--- a/src/replicas/tcpconnection.cpp
+++ b/src/replicas/tcpconnection.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-constexpr std::size_t maxWriteBytes = 256U << 10U; ///< frames joined into one write
-/// Before the other side has proved itself, nobody can make this one hold more than this.
-constexpr std::uint32_t firstFrameCap = 256;
+constexpr std::size_t maxWriteBytes = 256U << 10U; ///< of frames combined into one write
+/// Bounds what a peer can make this side allocate before it has authenticated itself.
+constexpr std::uint32_t maxFirstFrameBytes = 256;
 
 } // namespace
 
 TcpConnection::TcpConnection(Socket connected, bool isCaller,
                              std::shared_ptr<const MessengerOptions> settings,
-                             std::shared_ptr<CounterCells> cells, Hooks connectionHooks)
+                             std::shared_ptr<AtomicCounters> sharedCounters, Hooks connectionHooks)
     : socket(std::move(connected))
     , timer(this->socket.get_executor())
     , options(std::move(settings))
-    , counters(std::move(cells))
+    , counters(std::move(sharedCounters))
     , hooks(std::move(connectionHooks))
     , session(this->options->clusterId, this->options->instance, this->options->sharedSecret,
               isCaller)
@@ -40,7 +40,7 @@
     this->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     this->enqueue(this->session.hello(), 0);
     this->readHello();
-    this->watch();
+    this->scheduleHeartbeat();
 }
 
 void TcpConnection::readHello()
@@ -73,7 +73,7 @@
         return;
     }
     this->hasKeys = true;
-    this->send({}); // a heartbeat: proves to the other side that this one has the secret
+    this->send({}); // a heartbeat: proves to the peer that this side knows the shared secret
     this->readFrame();
 }
 
@@ -81,7 +81,7 @@
 {
     const auto cap = static_cast<std::uint32_t>(this->options->maxFrameBytes);
     return this->isReady ? cap + static_cast<std::uint32_t>(SecureSession::tagBytes)
-                         : firstFrameCap;
+                         : maxFirstFrameBytes;
 }
 
 void TcpConnection::readFrame()
@@ -89,8 +89,8 @@
     auto handler = [self = this->shared_from_this()](boost::system::error_code error, std::size_t) {
         if (error || !self->isOpen)
             return self->close();
-        // Guards against a length that would have this side allocate what it claims. The stream
-        // cannot be followed past such a frame, so its connection goes; no other is touched.
+        // A peer must not make this side allocate whatever length it claims. Frame boundaries are
+        // lost after such a frame, so this connection is closed; no other is affected.
         if (self->readingLength > self->frameCap()) {
             ++self->counters->oversizedFrames;
             return self->close();
@@ -177,29 +177,30 @@
     asio::async_write(this->socket, asio::buffer(this->writing), std::move(handler));
 }
 
-/// Sends heartbeats, and ends a connection that has gone silent.
+/// Sends the next heartbeat when it is due, and closes a connection on which nothing arrives.
 ///
-/// Guards against a connection whose state something between the two ends has lost: writes still
-/// succeed, and nothing ever comes back, while new connections work. Every connection carries
-/// heartbeats both ways, so silence past the limit means that this one is dead.
-void TcpConnection::watch()
+/// Guards against a connection whose state was lost by a device between the two ends: writes still
+/// succeed but nothing ever comes back, while new connections work. Every connection
+/// carries heartbeats in both directions, so one that is idle beyond the timeout is dead.
+void TcpConnection::scheduleHeartbeat()
 {
     this->timer.expires_after(this->options->heartbeat);
     this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
         if (error || !self->isOpen)
             return;
         const Instant now = monotonicNow();
-        const bool isLate = !self->isReady && now > self->startedAt + self->options->connectTimeout;
-        const bool isSilent = self->isReady && now > self->lastHeard + self->options->idleTimeout;
-        if (isLate)
+        const bool hasHandshakeTimedOut =
+            !self->isReady && now > self->startedAt + self->options->connectTimeout;
+        const bool isIdle = self->isReady && now > self->lastHeard + self->options->idleTimeout;
+        if (hasHandshakeTimedOut)
             ++self->counters->badHandshakes;
-        if (isSilent)
+        if (isIdle)
             ++self->counters->connectionsReplaced;
-        if (isLate || isSilent)
+        if (hasHandshakeTimedOut || isIdle)
             return self->close();
         if (self->hasKeys)
             self->send({});
-        self->watch();
+        self->scheduleHeartbeat();
     });
 }
 
--- a/src/replicas/tcpconnection.h
+++ b/src/replicas/tcpconnection.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/clock.h"
-#include "replicas/countercells.h"
+#include "replicas/atomiccounters.h"
 #include "replicas/messengeroptions.h"
 #include "replicas/securesession.h"
 #include "replicas/wireframe.h"
@@ -19,7 +19,7 @@
 
 namespace guavavalve::internal {
 
-/// One connection: handshake, frames, heartbeats. Everything runs on its socket's strand.
+/// One connection: handshake, frames and heartbeats. Everything runs on the socket's strand.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection>
 {
 public:
@@ -27,17 +27,18 @@
 
     struct Hooks
     {
-        std::function<void()> onReady; ///< the other side has proved that it has the secret
+        std::function<void()> onReady; ///< the peer has proved that it knows the shared secret
         std::function<void(WireFrame frame)> onFrame;
-        /// Once. \a unsent: calls whose frames never left.
+        /// Called once. \a unsent: the ids of the calls that were not passed to the socket.
         std::function<void(const std::vector<std::uint64_t> &unsent)> onClosed;
     };
 
     TcpConnection(Socket socket, bool isCaller, std::shared_ptr<const MessengerOptions> options,
-                  std::shared_ptr<CounterCells> counters, Hooks hooks);
+                  std::shared_ptr<AtomicCounters> counters, Hooks hooks);
 
     void start();
-    /// False if the bounded queue is full; the frame is then not sent.
+    /// Queues \a frame. Returns false, and does not send it, if the connection is not open or the
+    /// bounded queue is full.
     bool send(const WireFrame &frame);
     void close();
     Socket::executor_type executor() { return this->socket.get_executor(); }
@@ -47,7 +48,7 @@
     struct Queued
     {
         std::string bytes;
-        std::uint64_t callId = 0; ///< of a call; zero: none
+        std::uint64_t callId = 0; ///< zero: the frame is not a call
     };
 
     void readHello();
@@ -57,17 +58,17 @@
     void onSealed(const std::string &sealed);
     void enqueue(std::string bytes, std::uint64_t callId);
     void writeNext();
-    void watch();
+    void scheduleHeartbeat();
     std::uint32_t frameCap() const;
 
     Socket socket;
     boost::asio::steady_timer timer;
     std::shared_ptr<const MessengerOptions> options;
-    std::shared_ptr<CounterCells> counters;
+    std::shared_ptr<AtomicCounters> counters;
     Hooks hooks;
     SecureSession session;
     bool isOpen = true;
-    bool isReady = false; ///< an authentic frame has come
+    bool isReady = false; ///< an authentic frame has been received
     bool hasKeys = false;
     Instant lastHeard;
     Instant startedAt;
--- a/src/replicas/tcphub.cpp
+++ b/src/replicas/tcphub.cpp
@@ -36,16 +36,16 @@
 
 } // namespace
 
-/// A connection accepted from another instance.
+/// A connection that was accepted from another instance.
 struct TcpHub::Inbound
 {
     std::shared_ptr<TcpConnection> connection;
-    std::size_t underWay = 0; ///< calls not yet answered
+    std::size_t pendingCalls = 0; ///< received and not yet answered
 };
 
 TcpHub::TcpHub(MessengerOptions settings)
     : options(std::make_shared<const MessengerOptions>(std::move(settings)))
-    , cells(std::make_shared<CounterCells>())
+    , atomicCounters(std::make_shared<AtomicCounters>())
     , work(asio::make_work_guard(this->context))
     , acceptor(this->context)
 {}
@@ -122,19 +122,19 @@
                                     if (error == asio::error::operation_aborted)
                                         return;
                                     if (!error)
-                                        this->welcome(std::move(socket));
+                                        this->onAccepted(std::move(socket));
                                     this->accept();
                                 });
 }
 
-void TcpHub::welcome(Tcp::socket socket)
+void TcpHub::onAccepted(Tcp::socket socket)
 {
     auto item = std::make_shared<Inbound>();
     std::uint64_t id = 0;
     {
         const std::lock_guard lock(this->mutex);
         if (!this->isRunning || this->inbound.size() >= this->options->maxInbound) {
-            ++this->cells->connectionsRefused;
+            ++this->atomicCounters->connectionsRefused;
             return;
         }
         id = ++this->lastInbound;
@@ -151,7 +151,7 @@
         this->inbound.erase(id);
     };
     item->connection = std::make_shared<TcpConnection>(std::move(socket), false, this->options,
-                                                       this->cells, std::move(hooks));
+                                                       this->atomicCounters, std::move(hooks));
     {
         const std::lock_guard lock(this->mutex);
         if (!this->isRunning)
@@ -166,8 +166,8 @@
     const std::uint64_t callId = frame.callId;
     const std::weak_ptr<Inbound> weak = item;
     const std::size_t cap = this->options->maxFrameBytes;
-    ++item->underWay;
-    // May be called from any thread and long after the connection has gone.
+    ++item->pendingCalls;
+    // May be called from any thread and long after the connection was closed.
     Done<std::string> reply = [hub = this->weak_from_this(), weak, callId,
                                cap](Result<std::string> outcome) {
         const auto alive = hub.lock();
@@ -181,20 +181,21 @@
             answer.payload = std::move(outcome).value();
         } else {
             answer.kind = WireFrame::Kind::ErrorReply;
-            const Error tooLarge = failure(ErrorCode::Internal, "the reply is too large");
+            const Error tooLarge =
+                failure(ErrorCode::Internal, "the reply exceeds the maximum frame size");
             answer.payload = encode(ErrorPayload{outcome ? tooLarge : outcome.error()});
         }
         asio::post(open->connection->executor(), [open, answer = std::move(answer)] {
-            --open->underWay;
+            --open->pendingCalls;
             open->connection->send(answer);
         });
     };
     const auto handler = this->handlers.find(static_cast<Method>(frame.method));
-    if (item->underWay > this->options->maxQueuedCalls) {
-        ++this->cells->callsRefused;
-        reply(failure(ErrorCode::Unavailable, "too many calls are under way"));
+    if (item->pendingCalls > this->options->maxQueuedCalls) {
+        ++this->atomicCounters->callsRefused;
+        reply(failure(ErrorCode::Unavailable, "too many calls are pending on this connection"));
     } else if (handler == this->handlers.end()) {
-        reply(failure(ErrorCode::NotFound, "this instance does not serve that method"));
+        reply(failure(ErrorCode::NotFound, "this instance does not serve the requested method"));
     } else {
         handler->second(item->connection->peer(), std::move(frame.payload), std::move(reply));
     }
@@ -204,7 +205,7 @@
                   Done<std::string> done)
 {
     if (payload.size() + WireFrame::overheadBytes > this->options->maxFrameBytes) {
-        done(failure(ErrorCode::InvalidArgument, "the message is larger than a frame may be"));
+        done(failure(ErrorCode::InvalidArgument, "the message exceeds the maximum frame size"));
         return;
     }
     const auto peer = this->peerAt(address);
@@ -232,7 +233,8 @@
     const auto endpoint = parseAddress(address);
     if (!endpoint)
         return nullptr;
-    auto peer = std::make_shared<TcpPeer>(this->context, *endpoint, this->options, this->cells);
+    auto peer =
+        std::make_shared<TcpPeer>(this->context, *endpoint, this->options, this->atomicCounters);
     this->peers.emplace(address, peer);
     return peer;
 }
--- a/src/replicas/tcphub.h
+++ b/src/replicas/tcphub.h
@@ -18,7 +18,7 @@
 
 namespace guavavalve::internal {
 
-/// The listener, the peers called and the connections accepted of one messenger.
+/// Implements TcpMessenger: owns the listener, the outgoing peers and the accepted connections.
 class TcpHub : public std::enable_shared_from_this<TcpHub>
 {
 public:
@@ -30,7 +30,7 @@
     Result<void> start();
     void stop();
     std::uint16_t port() const { return this->boundPort; }
-    MessengerCounters counters() const { return this->cells->read(); }
+    MessengerCounters counters() const { return this->atomicCounters->load(); }
     void handle(Method method, Messenger::Handler handler);
     void call(const std::string &address, Method method, std::string payload, Instant deadline,
               Done<std::string> done);
@@ -40,12 +40,12 @@
     struct Inbound;
 
     void accept();
-    void welcome(Tcp::socket socket);
+    void onAccepted(Tcp::socket socket);
     void serve(const std::shared_ptr<Inbound> &inbound, WireFrame frame);
     std::shared_ptr<TcpPeer> peerAt(const std::string &address);
 
     std::shared_ptr<const MessengerOptions> options;
-    std::shared_ptr<CounterCells> cells;
+    std::shared_ptr<AtomicCounters> atomicCounters;
     boost::asio::io_context context;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work;
     Tcp::acceptor acceptor;
--- a/src/replicas/tcpmessenger.h
+++ b/src/replicas/tcpmessenger.h
@@ -13,8 +13,8 @@
 class TcpHub;
 }
 
-/// Messenger over TCP: one connection from each caller to each peer, calls multiplexed over it.
-/// docs/design/replication.md says what the frames protect and what they do not.
+/// Messenger over TCP: one connection from each caller to each peer, over which calls are
+/// multiplexed. See docs/design/replication.md for what the frames protect against.
 class TcpMessenger : public Messenger
 {
 public:
@@ -24,11 +24,11 @@
     TcpMessenger &operator=(const TcpMessenger &) = delete;
 
     /// Binds the listen address and starts the threads.
-    /// \errors InvalidArgument for bad options, Unavailable if the address cannot be bound.
+    /// \errors InvalidArgument for invalid options, Unavailable if the address cannot be bound.
     Result<void> start();
-    /// Ends all connections; calls under way end with Unavailable. No handler runs afterwards.
+    /// Closes all connections; pending calls fail with Unavailable. No handler runs afterwards.
     void stop();
-    /// The port bound, once started.
+    /// The bound port, once started.
     std::uint16_t port() const;
     MessengerCounters counters() const;
 
--- a/src/replicas/tcppeer.cpp
+++ b/src/replicas/tcppeer.cpp
@@ -27,11 +27,11 @@
 
 TcpPeer::TcpPeer(asio::io_context &context, asio::ip::tcp::endpoint address,
                  std::shared_ptr<const MessengerOptions> settings,
-                 std::shared_ptr<CounterCells> cells)
+                 std::shared_ptr<AtomicCounters> sharedCounters)
     : strand(asio::make_strand(context))
     , endpoint(std::move(address))
     , options(std::move(settings))
-    , counters(std::move(cells))
+    , counters(std::move(sharedCounters))
     , sweepTimer(this->strand)
     , connectTimer(this->strand)
     , backoff(this->options->backoffMin)
@@ -44,14 +44,16 @@
         return;
     }
     if (!this->connection && !this->connecting && monotonicNow() < this->retryAt) {
-        done(unavailable("the instance could not be reached a moment ago", Ran::No));
+        done(unavailable(
+            "the instance could not be reached; waiting before the next connection attempt",
+            Ran::No));
         return;
     }
     const bool isFull = this->calls.size() >= this->options->maxQueuedCalls
         || this->unsentBytes + payload.size() > this->options->maxQueuedBytes;
     if (isFull) {
         ++this->counters->callsRefused;
-        done(unavailable("too many calls to the instance are under way", Ran::No));
+        done(unavailable("too many calls to the instance are pending", Ran::No));
         return;
     }
     const std::uint64_t id = ++this->lastCallId;
@@ -76,7 +78,7 @@
 {
     if (!this->connection->send(pending.frame)) {
         ++this->counters->callsRefused;
-        this->finish(id, unavailable("too much waits to be sent to the instance", Ran::No));
+        this->finish(id, unavailable("the send queue to the instance is full", Ran::No));
         return;
     }
     pending.isSent = true;
@@ -181,10 +183,10 @@
     for (const auto &[id, pending] : this->calls)
         broken.push_back(id);
     for (const std::uint64_t id : broken) {
-        const bool left = std::find(unsent.begin(), unsent.end(), id) == unsent.end();
-        this->finish(
-            id,
-            unavailable("the connection to the instance was lost", left ? Ran::Unknown : Ran::No));
+        const bool wasSent = std::find(unsent.begin(), unsent.end(), id) == unsent.end();
+        this->finish(id,
+                     unavailable("the connection to the instance was lost",
+                                 wasSent ? Ran::Unknown : Ran::No));
     }
 }
 
@@ -192,7 +194,7 @@
 {
     const auto found = this->calls.find(id);
     if (found == this->calls.end())
-        return; // answered after its deadline
+        return; // the reply came after the call's deadline
     PendingCall pending = std::move(found->second);
     this->calls.erase(found);
     this->deadlines.erase({pending.deadline, id});
@@ -220,7 +222,7 @@
     while (!this->deadlines.empty() && this->deadlines.begin()->first <= now) {
         const std::uint64_t id = this->deadlines.begin()->second;
         ++this->counters->callsTimedOut;
-        Error error = failure(ErrorCode::DeadlineExceeded, "no reply came by the deadline");
+        Error error = failure(ErrorCode::DeadlineExceeded, "no reply before the deadline");
         const auto found = this->calls.find(id);
         error.ran = found != this->calls.end() && found->second.isSent ? Ran::Unknown : Ran::No;
         this->finish(id, std::move(error));
--- a/src/replicas/tcppeer.h
+++ b/src/replicas/tcppeer.h
@@ -19,7 +19,7 @@
 
 namespace guavavalve::internal {
 
-/// The calls to one address and the connection that carries them. Everything runs on its strand.
+/// The calls to one address and the connection that carries them. Everything runs on the strand.
 class TcpPeer : public std::enable_shared_from_this<TcpPeer>
 {
 public:
@@ -27,17 +27,17 @@
 
     TcpPeer(boost::asio::io_context &context, boost::asio::ip::tcp::endpoint endpoint,
             std::shared_ptr<const MessengerOptions> options,
-            std::shared_ptr<CounterCells> counters);
+            std::shared_ptr<AtomicCounters> counters);
 
     const Strand &executor() const { return this->strand; }
     void call(Method method, std::string payload, Instant deadline, Done<std::string> done);
-    /// Ends every call. On the strand, or once no thread runs it any more.
+    /// Fails every pending call. Must run on the strand, or once no thread runs it any more.
     void stop();
 
 private:
     struct PendingCall
     {
-        WireFrame frame; ///< its payload is given up once sent
+        WireFrame frame; ///< its payload is released once sent
         bool isSent = false;
         Instant deadline;
         Done<std::string> done;
@@ -57,7 +57,7 @@
     Strand strand;
     boost::asio::ip::tcp::endpoint endpoint;
     std::shared_ptr<const MessengerOptions> options;
-    std::shared_ptr<CounterCells> counters;
+    std::shared_ptr<AtomicCounters> counters;
     boost::asio::steady_timer sweepTimer;
     boost::asio::steady_timer connectTimer;
     std::unique_ptr<TcpConnection::Socket> connecting;
--- a/src/replicas/unsavedoutput.cpp
+++ b/src/replicas/unsavedoutput.cpp
@@ -12,7 +12,7 @@
 void UnsavedOutput::add(RaftOutput output, const Hooks &hooks)
 {
     if (this->holdsHardState()) {
-        // Nothing may speak for a term or a vote that is not stored.
+        // No message may be sent on the basis of a term or a vote that is not stored.
         output.afterSync.insert(output.afterSync.begin(),
                                 std::make_move_iterator(output.beforeSync.begin()),
                                 std::make_move_iterator(output.beforeSync.end()));
@@ -33,7 +33,7 @@
                 !saved)
                 return saved;
         }
-        // A snapshot that is saved again, since the batch after it was refused, changes nothing.
+        // If the disk refuses the batch, the retry saves the snapshot again, which is harmless.
         if (auto written = storage.write(output.batch); !written)
             return written;
         RaftOutput done = std::move(output);
--- a/src/replicas/unsavedoutput.h
+++ b/src/replicas/unsavedoutput.h
@@ -12,34 +12,34 @@
 
 class Storage;
 
-/// What a RaftCore wants stored and sent, in order, while its disk may refuse writes.
+/// Queues the output of a RaftCore, in order, until the disk has accepted it.
 ///
-/// Guards against a replica that ends its process because its disk is full, and against one that
-/// speaks for what it has not stored. What is refused is kept and tried again in its order; the
-/// votes, acknowledgements and candidacies that rest on it wait behind it. A leader goes on
-/// meanwhile: an entry commits once a quorum of the others has stored it.
+/// A replica must neither exit because its disk is full nor vouch for anything that it has not
+/// stored. Output that the disk refuses is kept and retried in order; the votes, acknowledgements
+/// and candidacies that depend on it are sent only after it is stored. A leader keeps working
+/// meanwhile: an entry commits once a quorum of the other replicas has stored it.
 class UnsavedOutput
 {
 public:
     struct Hooks
     {
         std::function<void(std::vector<OutgoingMessage> &messages)> send;
-        /// A snapshot has been saved: the state is to be replaced, older segments may go.
+        /// Called after a snapshot was saved: replaces the state and releases older segments.
         std::function<Result<void>(InstalledSnapshot snapshot)> installed;
     };
 
-    /// Sends what needs no storing and queues the rest behind what is unsaved.
+    /// Sends the messages that do not depend on storage and queues the rest.
     void add(RaftOutput output, const Hooks &hooks);
 
-    /// Stores as much as the disk takes, each followed by its messages.
-    /// \errors WriteRefused: what is left may be tried again. Others are those of Storage.
+    /// Stores as much as the disk accepts, and sends the messages of each output once it is stored.
+    /// \errors WriteRefused: the remaining output may be retried. Others are those of Storage.
     Result<void> store(Storage &storage, const Hooks &hooks);
 
     /// True when RaftCore::persisted() may be called.
     bool isEmpty() const { return this->queue.empty(); }
-    /// Committed entries may be beyond a snapshot that is not saved.
+    /// True while an unsaved snapshot is queued; committed entries may lie beyond it.
     bool holdsSnapshot() const;
-    /// About what the entries and snapshots that are not saved take in memory.
+    /// Approximate memory taken by unsaved entries and snapshots.
     std::size_t bytes() const { return this->heldBytes; }
 
 private:
--- a/src/replicas/wireframe.h
+++ b/src/replicas/wireframe.h
@@ -8,16 +8,17 @@
 
 namespace guavavalve::internal {
 
-/// What a frame between two instances holds, once opened.
+/// The decrypted content of a frame between two instances.
 struct WireFrame
 {
     /// Values are part of the wire format.
     enum class Kind : std::uint8_t { Heartbeat = 0, Call = 1, Reply = 2, ErrorReply = 3 };
 
-    static constexpr std::size_t overheadBytes = 64; ///< more than all but the payload takes
+    static constexpr std::size_t overheadBytes =
+        64; ///< upper bound for everything except the payload
 
     Kind kind = Kind::Heartbeat;
-    std::uint64_t callId = 0; ///< of the caller's connection
+    std::uint64_t callId = 0; ///< unique on the caller's connection
     std::uint16_t method = 0;
     std::string payload;
 
