--- a/test/replicas/failingstorage.h
+++ b/test/replicas/failingstorage.h
@@ -8,7 +8,7 @@
 
 namespace guavavalve {
 
-/// A storage whose writes can be made to fail, as on a broken or a full disk.
+/// A storage whose writes can be made to fail, as on a broken or full disk.
 class FailingStorage : public Storage
 {
 public:
@@ -23,7 +23,7 @@
     Result<void> write(const WriteBatch &batch) override
     {
         if (*this->fails)
-            return failure(this->code, "the disk failed");
+            return failure(this->code, "simulated disk failure");
         return this->storage->write(batch);
     }
     Result<void> saveSnapshot(const SnapshotMeta &meta, const std::string &state) override
--- a/test/replicas/fulldisktest.cpp
+++ b/test/replicas/fulldisktest.cpp
@@ -21,9 +21,11 @@
 
 } // namespace
 
-// The leader's disk is full. The others have room and make a quorum, so callers notice nothing; the
-// process used to end, and everybody waited for the next leader.
-TEST_CASE("a leader whose disk is full goes on while a quorum of the others stores", "[raft]")
+// The leader's disk is full while the others have space and form a quorum, so callers must not be
+// affected. Guards against a process that exits because its disk is full, which makes every caller
+// wait for the next leader.
+TEST_CASE("a leader whose disk is full keeps committing while a quorum of the others stores",
+          "[raft]")
 {
     RaftSimulation simulation(11, 3, 3);
     const std::size_t leader = leadAndCommit(simulation);
@@ -37,7 +39,7 @@
     CHECK(simulation.commits() >= before + 5);
     CHECK(simulation.refusals > 0);
     CHECK(simulation.core(leader).term() == term);
-    // Killed, it comes back without them; those who stored them have them.
+    // After a crash it restarts without these entries; the replicas that stored them have them.
     simulation.crash(leader);
     simulation.setFull(leader, false);
     simulation.restart(leader);
@@ -46,9 +48,9 @@
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// With one follower gone and another's disk full there is no quorum. What only the leader has
-// stored must not be acknowledged, and it must be once there is room again.
-TEST_CASE("a full follower acknowledges nothing until it has room", "[raft]")
+// With one follower down and the other's disk full there is no quorum. A command that only the
+// leader has stored must not be acknowledged until the full disk has space again.
+TEST_CASE("a follower whose disk is full acknowledges nothing until it has space", "[raft]")
 {
     RaftSimulation simulation(12, 3, 3);
     const std::size_t leader = leadAndCommit(simulation);
@@ -66,9 +68,9 @@
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// A replica whose disk is full is asked for its vote. A vote that is not stored could be given
-// again to another after a kill: two would lead in one term.
-TEST_CASE("a vote that cannot be stored is not given", "[raft]")
+// A replica whose disk is full is asked for its vote. Had it voted without storing the vote, it
+// could vote for another candidate after a crash, and two replicas would lead in one term.
+TEST_CASE("a replica does not grant a vote that it cannot store", "[raft]")
 {
     RaftSimulation simulation(13, 3, 3);
     const std::size_t leader = leadAndCommit(simulation);
@@ -83,9 +85,9 @@
     CHECK(simulation.failure() == RaftSimulation::none);
 }
 
-// The same over real files and threads: the process goes on, says once that its disk refuses and
-// once that it does not, and commands are acknowledged when they are stored.
-TEST_CASE("a replica waits for a disk that refuses writes", "[raftnode]")
+// With real files and threads: the process continues, reports once that its disk refuses writes and
+// once that it accepts them again, and acknowledges commands only when they are stored.
+TEST_CASE("a replica keeps running while its disk refuses writes", "[raftnode]")
 {
     SingleReplica replica(ErrorCode::WriteRefused);
     replica.setFailing(true);
--- a/test/replicas/inmemorylogtest.cpp
+++ b/test/replicas/inmemorylogtest.cpp
@@ -22,7 +22,8 @@
 
 } // namespace
 
-TEST_CASE("a log of one replica applies at once and refuses when it does not lead", "[inmemorylog]")
+TEST_CASE("an in-memory log applies commands immediately and rejects them when it does not lead",
+          "[inmemorylog]")
 {
     Counter machine;
     InMemoryLog log(machine);
--- a/test/replicas/raftnodefailuretest.cpp
+++ b/test/replicas/raftnodefailuretest.cpp
@@ -42,8 +42,8 @@
 
 } // namespace
 
-// A disk stops syncing. What is on it is unknown from then on, so the replica must tell that the
-// process has to stop, and acknowledge nothing more.
+// A sync fails. The contents of the disk are unknown from then on, so the replica must report that
+// the process has to stop, and must acknowledge nothing more.
 TEST_CASE("a failed sync stops the replica and acknowledges nothing", "[raftnode]")
 {
     SingleReplica replica(ErrorCode::Unavailable);
@@ -59,7 +59,7 @@
     CHECK(replica.machine.commands().empty());
 }
 
-TEST_CASE("a follower refuses commands at once and names the leader", "[raftnode]")
+TEST_CASE("a follower rejects commands immediately and names the leader", "[raftnode]")
 {
     TestGroup group;
     startAndForm(group, {"a", "b", "c"});
@@ -74,9 +74,9 @@
     CHECK(outcome.error().message.find(leader) != std::string::npos);
 }
 
-// No quorum is there and commands keep coming. They must not pile up without bound: beyond the
-// cap they are refused at once, and truly not proposed.
-TEST_CASE("commands that cannot be queued are refused as not run", "[raftnode]")
+// Commands keep arriving while there is no quorum. They must not accumulate without bound: beyond
+// the limit they are rejected immediately and are not proposed.
+TEST_CASE("commands that cannot be queued are rejected with Ran::No", "[raftnode]")
 {
     TestGroup group([](RaftOptions &options) { options.maxQueuedProposals = 10; });
     startAndForm(group, {"a", "b", "c"});
@@ -96,12 +96,12 @@
         });
     }
     CHECK(refused >= 40);
-    // The rest end when the leader steps down for want of a quorum.
+    // The rest fail when the leader steps down because it has no quorum.
     CHECK(waitFor([&] { return ended == 50; }));
     CHECK_FALSE(leader->node->holdsLeaderLease());
 }
 
-TEST_CASE("members are added and removed while commands go on", "[raftnode]")
+TEST_CASE("members are added and removed while commands are proposed", "[raftnode]")
 {
     TestGroup group;
     startAndForm(group, {"a", "b", "c"});
@@ -113,7 +113,7 @@
     REQUIRE(added);
     CHECK(isVoter(group.waitForLeader()->node->status(), "d"));
     REQUIRE(group.propose("two"));
-    CHECK(group.allHave(2));
+    CHECK(group.haveAllApplied(2));
     const std::string leaving = followerOf(group);
     const auto removed = await<Nothing>([&](Done<Nothing> done) {
         group.waitForLeader()->node->removeMember(leaving, std::move(done));
@@ -122,16 +122,18 @@
     CHECK_FALSE(isVoter(group.waitForLeader()->node->status(), leaving));
     group.stop(leaving);
     REQUIRE(group.propose("three"));
-    CHECK(group.allHave(3));
+    CHECK(group.haveAllApplied(3));
     const auto unknown = await<Nothing>([&](Done<Nothing> done) {
         group.waitForLeader()->node->removeMember("nobody", std::move(done));
     });
     CHECK(unknown.error().code == ErrorCode::NotFound);
 }
 
-// An instance's disk is replaced by an empty one and the instance comes back at its address, with
-// no operator's help. It must be a member again, with all the state, and able to carry a quorum.
-TEST_CASE("an instance with an empty disk is taken back by itself", "[raftnode]")
+// An instance's disk is replaced by an empty one and the instance restarts at its address. Without
+// help from an operator it must become a member again, with the whole state, and count towards a
+// quorum.
+TEST_CASE("an instance that restarts with an empty disk becomes a member again by itself",
+          "[raftnode]")
 {
     TestGroup group;
     startAndForm(group, {"a", "b", "c"});
@@ -145,19 +147,19 @@
         return group.at(lost).node->status().role == ReplicaRole::Follower
             && group.at(lost).machine.commands().size() == 10;
     }));
-    // Straight after, another follower is lost: the repaired one and the leader are a quorum.
+    // Another follower is lost right afterwards: the repaired one and the leader form a quorum.
     const std::string leader = group.waitForLeader()->name;
     for (const char *name : {"a", "b", "c"}) {
         if (name != leader && name != lost)
             group.stop(name);
     }
     REQUIRE(group.propose("after"));
-    CHECK(group.allHave(11));
+    CHECK(group.haveAllApplied(11));
 }
 
-// An instance is gone for good and no operator looks. A spare instance with an empty disk takes
-// its place by itself, so that the group can bear the next loss.
-TEST_CASE("a spare takes the place of a voter that is gone for good", "[raftnode]")
+// An instance is gone for good and no operator intervenes. A spare instance with an empty disk must
+// replace it automatically, so that the group tolerates the next loss.
+TEST_CASE("a spare replaces a voter that is gone for good", "[raftnode]")
 {
     std::vector<ReplicaMember> spares;
     TestGroup group([&](RaftOptions &options) {
@@ -175,16 +177,17 @@
         return leader != nullptr && isVoter(leader->node->status(), "d")
             && !isVoter(leader->node->status(), gone) && leader->node->status().members.size() == 3;
     }));
-    CHECK(group.allHave(1));
-    // The next loss: the leader and the spare, or whoever is left, go on.
+    CHECK(group.haveAllApplied(1));
+    // After the next loss, the remaining two members must still commit.
     group.stop(group.waitForLeader()->name);
     REQUIRE(group.propose("two"));
-    CHECK(group.allHave(2));
+    CHECK(group.haveAllApplied(2));
 }
 
-// A process restarts after hundreds of changes; the log has been compacted meanwhile. It must
-// come up with the same state, and its folder must stay small.
-TEST_CASE("snapshots bring back a replica after 500 changes", "[raftnode]")
+// The log is compacted, so that its folder stays small, while a replica is down and misses 500
+// commands. It must reach the same state as the others from a snapshot, and so must all replicas
+// when they restart.
+TEST_CASE("replicas recover from snapshots after 500 commands", "[raftnode]")
 {
     TestGroup group([](RaftOptions &options) {
         options.snapshotAfterEntries = 50;
@@ -196,17 +199,17 @@
     for (int i = 0; i < 500; ++i)
         REQUIRE(group.propose(std::to_string(i)));
     REQUIRE(group.start(away));
-    CHECK(group.allHave(500));
+    CHECK(group.haveAllApplied(500));
     group.instances.clear();
     for (const char *name : {"a", "b", "c"})
         REQUIRE(group.start(name));
     REQUIRE(group.propose("last"));
-    CHECK(group.allHave(501));
+    CHECK(group.haveAllApplied(501));
     CHECK(group.at("a").machine.commands() == group.at("b").machine.commands());
     CHECK(group.at("a").machine.commands() == group.at("c").machine.commands());
 }
 
-TEST_CASE("leadership is handed over on request", "[raftnode]")
+TEST_CASE("leadership is transferred on request", "[raftnode]")
 {
     TestGroup group;
     startAndForm(group, {"a", "b", "c"});
@@ -221,9 +224,10 @@
     }));
 }
 
-// A controller is started from the state as of its election. Were it told before everything
-// committed earlier is applied, it would decide from an old state.
-TEST_CASE("leadership is told once the state is current and taken back when lost", "[raftnode]")
+// The controller starts from the replicated state at the time it is told that its replica leads. If
+// it were told before all earlier commits are applied, it would decide on stale state.
+TEST_CASE("leadership is reported once the state is current, and again when it is lost",
+          "[raftnode]")
 {
     std::mutex mutex;
     std::vector<std::string> told;
@@ -250,9 +254,10 @@
     CHECK(std::count(told.begin(), told.end(), "leads with 5") >= 1);
 }
 
-// The leader's process is frozen and wakes. The others may have moved on meanwhile, so before it
-// has even looked at a message, it must not answer reads from its old state.
-TEST_CASE("a leader that wakes from a freeze holds no lease", "[raftnode]")
+// The leader's process is suspended and resumes. The others may have elected a new leader
+// meanwhile, so it must not serve reads from its stale state, even before it has received any
+// message.
+TEST_CASE("a leader that resumes after a suspension holds no lease", "[raftnode]")
 {
     auto skipped = std::make_shared<std::atomic<std::int64_t>>(0);
     TestGroup group([&](RaftOptions &options) {
@@ -260,12 +265,12 @@
     });
     startAndForm(group, {"a", "b", "c"});
     TestInstance *leader = group.waitForLeader();
-    *skipped = 400000; // to its own clock, 400 ms have passed since its last breath
+    *skipped = 400000; // by its own clock, it was suspended for 400 ms
     CHECK_FALSE(leader->node->holdsLeaderLease());
     CHECK(group.waitForLeader() != nullptr);
 }
 
-TEST_CASE("one process holds replicas of several groups", "[raftnode]")
+TEST_CASE("one process hosts replicas of several groups", "[raftnode]")
 {
     TestGroup group;
     REQUIRE(group.start("a"));
@@ -291,11 +296,11 @@
     CHECK(group.at("a").machine.commands().empty());
 }
 
-// An operator forms the group while one of its instances is still starting, and is told so. A
-// moment later it is up, and the operator asks again, by way of another instance. The members that
-// had kept themselves for the first formation refused every other one for 10 s, and each retry
-// made them do so again: the group was never formed.
-TEST_CASE("a formation that failed keeps no member from the next one", "[raftnode]")
+// A formation fails because one instance is still starting, and is retried through another instance
+// once it is up. Guards against members that stay reserved for the failed formation: they would
+// reject every other formation for 10 s, and each retry would reserve them again, so that the group
+// would never be formed.
+TEST_CASE("a failed formation does not block its members for the next one", "[raftnode]")
 {
     TestGroup group;
     for (const char *name : {"a", "b", "c"})
@@ -311,9 +316,9 @@
     CHECK(formed);
 }
 
-// Two operators form groups out of the same instances at the same time, from two places. At most
-// one may succeed: two groups would decide about the same targets.
-TEST_CASE("two formations at once do not both succeed", "[raftnode]")
+// Two operators form groups of the same instances at the same time, through different instances. At
+// most one may succeed: otherwise two groups would schedule on the same targets.
+TEST_CASE("at most one of two concurrent formations succeeds", "[raftnode]")
 {
     TestGroup group;
     for (const char *name : {"a", "b", "c"})
--- a/test/replicas/raftnodetest.cpp
+++ b/test/replicas/raftnodetest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("three replicas form once and commit commands in one order", "[raftnode]")
+TEST_CASE("three replicas form a group once and commit commands in the same order", "[raftnode]")
 {
     TestGroup group;
     for (const char *name : {"a", "b", "c"})
@@ -35,14 +35,15 @@
         REQUIRE(outcome);
         CHECK(outcome.value() == "did " + std::to_string(i));
     }
-    REQUIRE(group.allHave(20));
+    REQUIRE(group.haveAllApplied(20));
     CHECK(group.at("a").machine.commands() == group.at("b").machine.commands());
     CHECK(group.at("a").machine.commands() == group.at("c").machine.commands());
 }
 
-// Operators see all processes of the cluster go at once, as when a site loses its power. Every
-// acknowledged command must be there when they are back, on every replica.
-TEST_CASE("nothing acknowledged is lost when all replicas restart at once", "[raftnode]")
+// All processes of the cluster stop at the same time, as when a site loses power. Every
+// acknowledged command must be present on every replica after the restart.
+TEST_CASE("no acknowledged command is lost when all replicas restart at the same time",
+          "[raftnode]")
 {
     TestGroup group;
     startThree(group);
@@ -53,13 +54,13 @@
         REQUIRE(group.start(name));
     REQUIRE(group.waitForLeader() != nullptr);
     REQUIRE(group.propose("after"));
-    REQUIRE(group.allHave(21));
+    REQUIRE(group.haveAllApplied(21));
     CHECK(group.at("b").machine.commands().back() == "after");
 }
 
-// The instance whose replica leads fails. The others elect another within a few election
-// timeouts and go on; what was acknowledged stays.
-TEST_CASE("another replica leads when the leader is gone", "[raftnode]")
+// The leader's instance fails. The others must elect another leader within a few election timeouts
+// and continue without losing acknowledged commands.
+TEST_CASE("another replica becomes leader when the leader fails", "[raftnode]")
 {
     TestGroup group;
     startThree(group);
@@ -69,5 +70,5 @@
     REQUIRE(group.propose("two"));
     CHECK(group.waitForLeader()->name != first);
     REQUIRE(group.start(first));
-    REQUIRE(group.allHave(2));
+    REQUIRE(group.haveAllApplied(2));
 }
--- a/test/replicas/recordingmachine.h
+++ b/test/replicas/recordingmachine.h
@@ -9,7 +9,7 @@
 
 namespace guavavalve {
 
-/// A state machine whose state is the list of commands that it has applied.
+/// A state machine whose state is the list of the commands applied so far.
 class RecordingMachine : public StateMachine
 {
 public:
--- a/test/replicas/restarttest.cpp
+++ b/test/replicas/restarttest.cpp
@@ -4,10 +4,12 @@
 
 using namespace guavavalve;
 
-// All replicas are restarted at once. Each waited for a whole election timeout before it asked for
-// votes, since a leader might still rely on its promise; callers waited 0.5 to 1 s longer than the
-// restart took. When every voter says that it follows nobody, there is no such leader.
-TEST_CASE("all replicas that restart together have a leader at once", "[raft]")
+// All replicas are restarted at the same time. Guards against each waiting for a whole election
+// timeout before it asks for votes, because a leader might still rely on its lease: callers then
+// wait 0.5 to 1 s longer than the restart takes. When every voter reports that it follows no
+// leader, there is no such leader.
+TEST_CASE("replicas that restart together elect a leader without waiting for an election timeout",
+          "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         RaftSimulation simulation(seed, 5, 5);
@@ -26,9 +28,10 @@
     }
 }
 
-// One replica alone does not come back: the others cannot know whether it still leads somewhere,
-// and wait as before.
-TEST_CASE("a leader that may still be there is waited for after a restart", "[raft]")
+// All replicas but the leader restart, and the leader is unreachable. The others cannot know
+// whether it still holds its lease, so they must wait for the election timeout.
+TEST_CASE("restarted replicas wait for the election timeout while a leader may hold its lease",
+          "[raft]")
 {
     RaftSimulation simulation(3, 3, 3);
     simulation.setFaultRates({0, 0, 0, 0});
--- a/test/replicas/singlereplica.h
+++ b/test/replicas/singlereplica.h
@@ -11,11 +11,11 @@
 
 namespace guavavalve {
 
-/// A group of one replica, leading, whose disk can be made to fail.
+/// A group of one replica, which leads and whose disk can be made to fail.
 class SingleReplica
 {
 public:
-    /// \a code: what its writes fail with.
+    /// \a code is the error of its failing writes.
     explicit SingleReplica(ErrorCode code)
         : messenger(messengerOptions())
         , router(this->messenger)
@@ -52,7 +52,7 @@
     SingleReplica &operator=(const SingleReplica &) = delete;
 
     void setFailing(bool isFailing) { *this->fails = isFailing; }
-    /// Counts how it ends in \a ended, and in \a acknowledged if it was taken.
+    /// Increments \a ended when the proposal completes, and \a acknowledged if it succeeded.
     void propose(const std::string &command)
     {
         this->node->propose(command, [this](const Result<std::string> &outcome) {
--- a/test/replicas/tcpmessengertest.cpp
+++ b/test/replicas/tcpmessengertest.cpp
@@ -61,7 +61,7 @@
     });
 }
 
-/// A client that speaks the protocol by hand, to misuse it.
+/// A client that implements the protocol on a plain socket, in order to violate it.
 class RawClient
 {
 public:
@@ -77,7 +77,7 @@
         asio::write(this->socket, asio::buffer(bytes), ignored);
     }
 
-    /// One message with its length before it; empty if the server has closed.
+    /// Reads one length-prefixed message; empty if the server has closed the connection.
     std::string receive()
     {
         std::uint32_t length = 0;
@@ -111,10 +111,10 @@
     return session.seal(encode(frame));
 }
 
-/// A server and a well-behaved caller, whose calls must go on whatever others do.
-struct Pair
+/// A server and a well-behaved caller, whose calls must succeed whatever other clients do.
+struct ServerAndCaller
 {
-    Pair()
+    ServerAndCaller()
         : server(optionsOf("server"))
         , caller(optionsOf("caller"))
     {
@@ -145,7 +145,7 @@
 
 TEST_CASE("calls between two instances are answered over one connection", "[messenger]")
 {
-    Pair pair;
+    ServerAndCaller pair;
     const std::string large(3 << 20, 'x');
     std::atomic<int> answered{0};
     for (int i = 0; i < 200; ++i) {
@@ -166,11 +166,12 @@
     CHECK(unserved.error().code == ErrorCode::NotFound);
 }
 
-// A stranger on the network, or an instance of another cluster, connects and talks. Its frames
-// are counted and dropped; callers of the same instance notice nothing.
-TEST_CASE("frames that are foreign or forged or too long hurt nobody", "[messenger]")
+// An unrelated client or an instance of another cluster connects and sends data. Its frames must be
+// counted and dropped, and other callers of the same instance must not be affected.
+TEST_CASE("foreign, forged and oversized frames are dropped without affecting other callers",
+          "[messenger]")
 {
-    Pair pair;
+    ServerAndCaller pair;
     {
         RawClient stranger(pair.server);
         stranger.send("GET / HTTP/1.1\r\n\r\n");
@@ -198,7 +199,7 @@
         SecureSession session("test", "caller", secret, true);
         large.send(session.hello());
         REQUIRE(session.accept(large.receive()));
-        large.send(std::string("\x00\x00\x40\x00", 4)); // claims 4 MB before it proved anything
+        large.send(std::string("\x00\x00\x40\x00", 4)); // claims 4 MB before it is authenticated
         large.drain();
     }
     CHECK(waitFor([&] { return pair.server.counters().oversizedFrames == 1; }));
@@ -215,11 +216,12 @@
     CHECK(pair.caller.counters().connectionsOpened == 1);
 }
 
-// Someone who can listen on the network sends a recorded connection again, so that a start or a
-// vote counts twice. Nonces are fresh on each connection and frames are numbered: it is dropped.
-TEST_CASE("a recorded connection that is sent again is dropped", "[messenger]")
+// An attacker who records traffic on the network replays a connection, so that a start or a vote
+// would count twice. Nonces are fresh on each connection and frames are numbered, so the replay
+// must be dropped.
+TEST_CASE("replayed frames and connections are dropped", "[messenger]")
 {
-    Pair pair;
+    ServerAndCaller pair;
     SecureSession session("test", "caller", secret, true);
     const std::string hello = session.hello();
     std::string call;
@@ -230,7 +232,7 @@
         call = sealedCall(session, "once");
         first.send(call);
         CHECK(waitFor([&] { return pair.served == 2; }));
-        first.send(call); // the same frame again on its own connection
+        first.send(call); // replays the frame on its own connection
         first.drain();
     }
     CHECK(waitFor([&] { return pair.server.counters().unauthenticatedFrames == 1; }));
@@ -243,9 +245,10 @@
     CHECK(pair.served == 2);
 }
 
-TEST_CASE("an authentic frame that cannot be decoded is dropped alone", "[messenger]")
+TEST_CASE("an authentic frame that cannot be decoded is dropped without closing its connection",
+          "[messenger]")
 {
-    Pair pair;
+    ServerAndCaller pair;
     RawClient odd(pair.server);
     SecureSession session("test", "caller", secret, true);
     odd.send(session.hello());
@@ -256,16 +259,16 @@
     CHECK(pair.server.counters().malformedFrames == 1);
 }
 
-// Something between two instances loses track of an open connection: writes still succeed, and
-// nothing ever comes back, while new connections work. Calls must not hang on it for good.
-TEST_CASE("a connection that has gone silent is replaced", "[messenger]")
+// A device between two instances loses the state of an open connection: writes still succeed but
+// nothing ever comes back, while new connections work. Calls must not wait on it forever.
+TEST_CASE("a connection on which nothing arrives any more is replaced", "[messenger]")
 {
     auto options = optionsOf("caller");
     options.heartbeat = Milliseconds(50);
     options.idleTimeout = Milliseconds(300);
     TcpMessenger caller(options);
     REQUIRE(caller.start());
-    // A peer that shakes hands and answers nothing more: the first connection only.
+    // A peer that completes the handshake on the first connection and then sends nothing more.
     asio::io_context context;
     Tcp::acceptor acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
     const std::string address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
@@ -291,7 +294,7 @@
     CHECK(replacement.is_open());
 }
 
-TEST_CASE("a call that was never sent says so", "[messenger]")
+TEST_CASE("a call that was never sent fails with Ran::No", "[messenger]")
 {
     TcpMessenger caller(optionsOf("caller"));
     REQUIRE(caller.start());
@@ -302,9 +305,10 @@
     CHECK(ping(caller, "nowhere", "x").error().ran == Ran::No);
 }
 
-// A peer is frozen: it reads nothing. What waits for it must stay bounded, and each call must end
-// by its deadline.
-TEST_CASE("calls to a frozen peer end by their deadlines and queues stay bounded", "[messenger]")
+// A peer is suspended and reads nothing. The data queued for it must stay bounded, and each call
+// must end by its deadline.
+TEST_CASE("calls to a suspended peer end by their deadlines and its queues stay bounded",
+          "[messenger]")
 {
     asio::io_context context;
     Tcp::acceptor frozen(context, {asio::ip::make_address("127.0.0.1"), 0});
@@ -328,7 +332,7 @@
     CHECK(late == 10);
 }
 
-TEST_CASE("a messenger that stops ends the calls under way", "[messenger]")
+TEST_CASE("a messenger that stops ends its pending calls", "[messenger]")
 {
     TcpMessenger server(optionsOf("server"));
     std::vector<Done<std::string>> kept;
@@ -351,10 +355,10 @@
     caller.stop();
     CHECK(ended == 1);
     server.stop();
-    kept.front()(std::string("too late")); // must not touch what has ended
+    kept.front()(std::string("too late")); // must not access the stopped messenger
 }
 
-TEST_CASE("an instance that restarts is reached again", "[messenger]")
+TEST_CASE("an instance can be reached again after it restarts", "[messenger]")
 {
     TcpMessenger caller(optionsOf("caller"));
     REQUIRE(caller.start());
@@ -372,8 +376,9 @@
     CHECK(waitFor([&] { return ping(caller, options.listenAddress, "two").has_value(); }));
 }
 
-// Whatever arrives, decoding ends with a value or an error and allocates no more than it got.
-TEST_CASE("the frame decoders survive any bytes", "[messenger][fuzz]")
+// For any input, decoding ends with a value or an error and allocates no more than its size.
+TEST_CASE("the frame decoders accept or reject arbitrary bytes without crashing",
+          "[messenger][fuzz]")
 {
     const std::uint64_t seed = 20261203;
     INFO("seed " << seed);
--- a/test/replicas/temporaryfolder.h
+++ b/test/replicas/temporaryfolder.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// A folder that goes with the object.
+/// A folder that is removed together with the object.
 class TemporaryFolder
 {
 public:
--- a/test/replicas/testgroup.h
+++ b/test/replicas/testgroup.h
@@ -18,12 +18,12 @@
 
 namespace guavavalve {
 
-/// Waits until \a condition holds; false if it never does.
+/// Waits until \a condition holds. Returns false if it does not within 30 s.
 inline bool waitFor(const std::function<bool()> &condition)
 {
-    constexpr Milliseconds patience{30000};
+    constexpr Milliseconds timeout{30000};
     constexpr Milliseconds pause{5};
-    const Instant end = monotonicNow() + patience;
+    const Instant end = monotonicNow() + timeout;
     while (monotonicNow() < end) {
         if (condition())
             return true;
@@ -32,7 +32,7 @@
     return condition();
 }
 
-/// The outcome of an asynchronous call, waited for.
+/// Starts an asynchronous call and waits for its outcome.
 template<typename T>
 Result<T> await(const std::function<void(Done<T>)> &begin)
 {
@@ -40,11 +40,11 @@
     auto future = promise->get_future();
     begin([promise](Result<T> outcome) { promise->set_value(std::move(outcome)); });
     if (future.wait_for(std::chrono::seconds(30)) != std::future_status::ready)
-        return failure(ErrorCode::DeadlineExceeded, "the test's patience ended");
+        return failure(ErrorCode::DeadlineExceeded, "no outcome within 30 s");
     return future.get();
 }
 
-/// One instance of a test: messenger, replica and state machine, over loopback.
+/// One instance under test: messenger, replica and state machine, over loopback.
 struct TestInstance
 {
     std::string name;
@@ -66,7 +66,7 @@
     }
 };
 
-/// Several instances, each with a folder that outlives its restarts.
+/// Several instances, each with a data folder that survives its restarts.
 class TestGroup
 {
 public:
@@ -78,12 +78,12 @@
         , wrap(std::move(storageWrap))
     {}
 
-    /// The replicas end before their folders go.
+    /// Destroys the replicas before their folders are removed.
     ~TestGroup() { this->instances.clear(); }
     TestGroup(const TestGroup &) = delete;
     TestGroup &operator=(const TestGroup &) = delete;
 
-    /// Starts, or starts anew with a fresh state machine, the instance \a name.
+    /// Starts or restarts the instance \a name with an empty state machine.
     Result<void> start(const std::string &name)
     {
         auto instance = std::make_unique<TestInstance>();
@@ -137,7 +137,7 @@
             [&](Done<Nothing> done) { this->at(by).node->form(members, std::move(done)); });
     }
 
-    /// The one that leads and may serve reads, or null.
+    /// The instance that holds the leader's lease, or null.
     TestInstance *leader()
     {
         for (auto &[name, instance] : this->instances) {
@@ -152,7 +152,7 @@
         return this->leader();
     }
 
-    /// Proposes at whichever leads, until it is committed or surely refused for another reason.
+    /// Proposes \a command at the current leader, retrying as long as it fails with NotLeader.
     Result<std::string> propose(const std::string &command)
     {
         Result<std::string> outcome = failure(ErrorCode::Unavailable, "no leader");
@@ -167,7 +167,7 @@
         return outcome;
     }
 
-    bool allHave(std::size_t commands)
+    bool haveAllApplied(std::size_t commands)
     {
         return waitFor([&] {
             for (auto &[name, instance] : this->instances) {
