--- a/bench/replicas/commandload.cpp
+++ b/bench/replicas/commandload.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Counts what has come back; shared with callbacks that may come late.
+/// Collects the outcomes; shared with callbacks, which may run after the measurement has ended.
 struct Tally
 {
     std::mutex mutex;
@@ -59,12 +59,12 @@
 
 } // namespace
 
-double LoadResult::percentile(double part) const
+double LoadResult::percentile(double fraction) const
 {
     if (this->milliseconds.empty())
         return 0.0;
     const auto index =
-        static_cast<std::size_t>(part * static_cast<double>(this->milliseconds.size()));
+        static_cast<std::size_t>(fraction * static_cast<double>(this->milliseconds.size()));
     return this->milliseconds[std::min(index, this->milliseconds.size() - 1)];
 }
 
--- a/bench/replicas/main.cpp
+++ b/bench/replicas/main.cpp
@@ -12,7 +12,8 @@
 #include <string>
 #include <vector>
 
-// Three replicas in one process over loopback TCP, journals on the temporary folder's disk.
+// Benchmarks three replicas in one process over loopback TCP, with journals in the temporary
+// folder.
 
 using namespace guavavalve;
 using namespace guavavalve::bench;
@@ -22,8 +23,8 @@
 constexpr std::size_t commandBytes = 200;
 const std::vector<std::string> names{"a", "b", "c"};
 
-/// Begun, formed and led, or a message and the end of the program.
-TestInstance &begin(TestGroup &group)
+/// Starts and forms the group and returns its leader; exits the program on failure.
+TestInstance &startGroup(TestGroup &group)
 {
     for (const std::string &name : names) {
         if (!group.start(name))
@@ -32,7 +33,7 @@
     const auto formed = group.form(names.front(), names);
     TestInstance *leader = formed ? group.waitForLeader() : nullptr;
     if (leader == nullptr) {
-        std::fprintf(stderr, "the group was not formed\n");
+        std::fprintf(stderr, "the group could not be formed or has no leader\n");
         std::exit(1);
     }
     return *leader;
@@ -40,8 +41,7 @@
 
 void benchCommits(Milliseconds duration)
 {
-    std::printf("Commits of %zu bytes: one sync for all that wait, against one sync each\n",
-                commandBytes);
+    std::printf("Commits of %zu bytes: group commit against one sync per entry\n", commandBytes);
     std::printf("%8s %-6s %10s %9s %9s %9s %8s\n", "waiting", "sync", "commits/s", "p50 ms",
                 "p99 ms", "max ms", "failed");
     for (const std::size_t waiting : {std::size_t{1}, std::size_t{8}, std::size_t{64}}) {
@@ -54,7 +54,7 @@
                 };
             }
             TestGroup group({}, std::move(wrap));
-            TestInstance &leader = begin(group);
+            TestInstance &leader = startGroup(group);
             const LoadResult result = runClosedLoad(*leader.node, waiting, commandBytes, duration);
             rates[isGrouped ? 0 : 1] = result.perSecond();
             std::printf("%8zu %-6s %10.0f %9.2f %9.2f %9.2f %8zu\n", waiting,
@@ -98,16 +98,16 @@
 
 void benchRecovery(const std::vector<LogIndex> &lengths)
 {
-    constexpr LogIndex tail = 1000;
-    std::printf("\nReading a journal back: the whole log, against a snapshot of 1 MB and the last "
-                "%llu entries\n",
-                static_cast<unsigned long long>(tail));
+    constexpr LogIndex entriesAfterSnapshot = 1000;
+    std::printf("\nJournal recovery: the whole log, against a snapshot of 1 MB and the last %llu "
+                "entries\n",
+                static_cast<unsigned long long>(entriesAfterSnapshot));
     std::printf("%10s %-9s %10s %9s %12s\n", "entries", "snapshot", "read ms", "entries",
                 "segments");
     for (const LogIndex length : lengths) {
         for (const bool hasSnapshot : {false, true}) {
             TemporaryFolder folder;
-            if (!writeLog(folder.path(), length, hasSnapshot ? length - tail : 0))
+            if (!writeLog(folder.path(), length, hasSnapshot ? length - entriesAfterSnapshot : 0))
                 std::exit(1);
             auto journal = openBenchJournal(folder.path());
             const Instant began = monotonicNow();
@@ -150,7 +150,7 @@
                 "follower B/s", "memory MB/3", "core %/3");
     for (const std::size_t rate : {std::size_t{0}, std::size_t{100}, std::size_t{1000}}) {
         TestGroup group;
-        TestInstance &leader = begin(group);
+        TestInstance &leader = startGroup(group);
         const auto sent = [&](const TestInstance &instance) {
             return static_cast<double>(instance.messenger->counters().bytesSent);
         };
--- a/bench/replicas/synceachstorage.h
+++ b/bench/replicas/synceachstorage.h
@@ -7,7 +7,7 @@
 
 namespace guavavalve::bench {
 
-/// Syncs after every entry, as a log without group commit would.
+/// Syncs after every entry, like a log without group commit.
 class SyncEachStorage : public Storage
 {
 public:
