--- a/src/controller/instancemetrics.cpp
+++ b/src/controller/instancemetrics.cpp
@@ -20,16 +20,16 @@
 
 void exportMessengerMetrics(const MessengerCounters &counters, Metrics &into)
 {
-    into.countUpTo(Metric::ControlSentBytes, static_cast<double>(counters.bytesSent));
-    into.countUpTo(Metric::ControlReceivedBytes, static_cast<double>(counters.bytesReceived));
-    into.countUpTo(Metric::FramesRejectedTotal,
-                   static_cast<double>(counters.badHandshakes + counters.unauthenticatedFrames
-                                       + counters.oversizedFrames + counters.malformedFrames));
+    into.raiseCounterTo(Metric::ControlSentBytes, static_cast<double>(counters.bytesSent));
+    into.raiseCounterTo(Metric::ControlReceivedBytes, static_cast<double>(counters.bytesReceived));
+    into.raiseCounterTo(Metric::FramesRejectedTotal,
+                        static_cast<double>(counters.badHandshakes + counters.unauthenticatedFrames
+                                            + counters.oversizedFrames + counters.malformedFrames));
 }
 
 void exportLogMetrics(Metrics &into)
 {
-    into.countUpTo(Metric::LogLinesDroppedTotal, static_cast<double>(Logging::droppedLines()));
+    into.raiseCounterTo(Metric::LogLinesDroppedTotal, static_cast<double>(Logging::droppedLines()));
 }
 
 } // namespace guavavalve
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -117,18 +117,18 @@
     this->readiness.addCondition(NotReadyReason::NoConfigurationLease,
                                  [this] { return this->follower->holdsLease(); });
     this->readiness.started();
-    logChange(LogLevel::Information, "instance started",
-              {{"instance", this->settings.instance},
-               {"region", this->settings.region},
-               {"failureDomain", this->settings.failureDomain},
-               {"callers", this->settings.callersAdvertise},
-               {"messenger", this->settings.messengerListen}});
+    logEvent(LogLevel::Information, "instance started",
+             {{"instance", this->settings.instance},
+              {"region", this->settings.region},
+              {"failureDomain", this->settings.failureDomain},
+              {"callers", this->settings.callersAdvertise},
+              {"messenger", this->settings.messengerListen}});
     return boost::outcome_v2::success();
 }
 
 void Daemon::shutDown()
 {
-    logChange(LogLevel::Information, "shutdown begins", {{"instance", this->settings.instance}});
+    logEvent(LogLevel::Information, "shutdown begins", {{"instance", this->settings.instance}});
     this->readiness.beginShutdown();
     // Until the balancer has seen that this instance is not ready it goes on sending requests;
     // refusing them would turn callers away for nothing.
@@ -136,14 +136,14 @@
     this->server.stopAccepting();
     const Instant deadline = monotonicNow() + Milliseconds(this->settings.shutdownGraceMs);
     if (!this->server.waitUntilIdle(deadline)) {
-        logChange(LogLevel::Warning, "requests outlast the grace of the shutdown",
-                  {{"open", std::to_string(this->server.inFlight())}});
+        logEvent(LogLevel::Warning, "requests outlast the grace of the shutdown",
+                 {{"open", std::to_string(this->server.inFlight())}});
     }
     this->follower->stop();
     if (this->replica)
         this->replica->handOver(monotonicNow() + handOverTimeout);
     this->server.close();
-    logChange(LogLevel::Information, "shutdown ends", {{"instance", this->settings.instance}});
+    logEvent(LogLevel::Information, "shutdown ends", {{"instance", this->settings.instance}});
 }
 
 void Daemon::serveDispatch()
@@ -185,7 +185,7 @@
 void Daemon::addRoutes()
 {
     addServiceRoutes(this->server, this->readiness, this->metrics);
-    this->metrics.addSource([this](Metrics &into) { this->refreshMetrics(into); });
+    this->metrics.addRefreshCallback([this](Metrics &into) { this->refreshMetrics(into); });
     addOperatorRoutes(this->server, this->operatorRoutes());
     this->announcements = std::make_unique<AnnouncementListener>(
         this->server, this->controller, this->timers, announcementOptions(this->settings));
@@ -248,7 +248,7 @@
         {"answered", callersSeen.answered}, {"refused", callersSeen.refused},
         {"failed", callersSeen.failed},     {"unknown", callersSeen.unknown}};
     for (const auto &[outcome, requests] : outcomes)
-        into.countUpTo(Metric::RequestsTotal, static_cast<double>(requests), {outcome});
+        into.raiseCounterTo(Metric::RequestsTotal, static_cast<double>(requests), {outcome});
     if (this->replica)
         this->refreshReplicaMetrics(into);
 }
--- a/src/runtime/httpserver.cpp
+++ b/src/runtime/httpserver.cpp
@@ -71,7 +71,7 @@
     std::unique_ptr<tcp::acceptor> acceptor;
     std::unique_ptr<asio::steady_timer> sweepTimer;
     std::set<std::shared_ptr<internal::HttpConnection>> connections;
-    std::uint64_t turnedAway = 0;
+    std::uint64_t rejectedConnections = 0;
     std::uint16_t port = 0;
 
     std::mutex mutex;
@@ -171,7 +171,7 @@
             self->connections.insert(connection);
             connection->start();
         } else if (!error) {
-            ++self->turnedAway;
+            ++self->rejectedConnections;
         }
         if (error)
             self->acceptLater();
@@ -286,7 +286,7 @@
     this->d->closing = true;
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::disableKeepAlive()
 {
     this->d->closing = true;
 }
@@ -302,9 +302,9 @@
     return this->d->connections.size();
 }
 
-std::uint64_t HttpServer::turnedAway() const
+std::uint64_t HttpServer::rejectedConnections() const
 {
-    return this->d->turnedAway;
+    return this->d->rejectedConnections;
 }
 
 bool HttpServer::waitUntilIdle(Instant deadline)
--- a/src/runtime/httpserver.h
+++ b/src/runtime/httpserver.h
@@ -97,7 +97,7 @@
 
     /// Answers requests as before and closes each connection with its next answer: for a shutdown
     /// while callers go on using their open connections.
-    void closeAfterAnswers();
+    void disableKeepAlive();
 
     /// Requests taken and not yet answered.
     std::size_t inFlight() const;
@@ -105,7 +105,7 @@
     /// Connections that are open. On the loop, or while it is stopped.
     std::size_t connections() const;
     /// Connections closed at once because there were as many as may be. On the loop, as above.
-    std::uint64_t turnedAway() const;
+    std::uint64_t rejectedConnections() const;
 
     /// Waits until inFlight() is zero; false if \a deadline passes first. Not on the loop.
     bool waitUntilIdle(Instant deadline);
--- a/src/runtime/logging.cpp
+++ b/src/runtime/logging.cpp
@@ -90,7 +90,7 @@
     return pool ? pool->overrun_counter() : 0;
 }
 
-void logChange(LogLevel level, std::string_view what, std::initializer_list<LogField> fields)
+void logEvent(LogLevel level, std::string_view what, std::initializer_list<LogField> fields)
 {
     spdlog::logger *logger = spdlog::default_logger_raw();
     if (logger == nullptr || !logger->should_log(spdlogLevel(level)))
--- a/src/runtime/logging.h
+++ b/src/runtime/logging.h
@@ -41,6 +41,6 @@
 
 /// Logs a change of state, as `what key=value ...`. Counters, and not lines, are for what
 /// happens to each request.
-void logChange(LogLevel level, std::string_view what, std::initializer_list<LogField> fields = {});
+void logEvent(LogLevel level, std::string_view what, std::initializer_list<LogField> fields = {});
 
 } // namespace guavavalve
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -149,7 +149,7 @@
     static_cast<prometheus::Counter *>(this->d->find(metric, labels))->Increment(by);
 }
 
-void Metrics::countUpTo(Metric metric, double total, const LabelValues &labels)
+void Metrics::raiseCounterTo(Metric metric, double total, const LabelValues &labels)
 {
     assert(describe(metric).type == MetricType::Counter && "countUpTo() is for counters");
     auto *counter = static_cast<prometheus::Counter *>(this->d->find(metric, labels));
@@ -170,7 +170,7 @@
     static_cast<prometheus::Histogram *>(this->d->find(metric, labels))->Observe(value);
 }
 
-void Metrics::addSource(std::function<void(Metrics &)> refresh)
+void Metrics::addRefreshCallback(std::function<void(Metrics &)> refresh)
 {
     const std::lock_guard<std::mutex> lock(this->d->sourcesMutex);
     this->d->sources.push_back(std::move(refresh));
@@ -195,7 +195,7 @@
         constexpr double microsecond = 1e-6;
         const double seconds = static_cast<double>(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec)
             + microsecond * static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec);
-        metrics.countUpTo(Metric::ControlCpuSeconds, seconds);
+        metrics.raiseCounterTo(Metric::ControlCpuSeconds, seconds);
     }
     std::ifstream statm("/proc/self/statm");
     std::int64_t total = 0;
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -30,7 +30,7 @@
     void count(Metric metric, const LabelValues &labels = {}, double by = 1.0);
 
     /// Raises a counter to \a total, which is kept elsewhere; a lower total changes nothing.
-    void countUpTo(Metric metric, double total, const LabelValues &labels = {});
+    void raiseCounterTo(Metric metric, double total, const LabelValues &labels = {});
 
     /// Sets a gauge.
     void set(Metric metric, double value, const LabelValues &labels = {});
@@ -39,7 +39,7 @@
     void observe(Metric metric, double value, const LabelValues &labels = {});
 
     /// Has \a refresh called before each exposition, to set gauges that are read when asked for.
-    void addSource(std::function<void(Metrics &)> refresh);
+    void addRefreshCallback(std::function<void(Metrics &)> refresh);
 
     /// Everything in Prometheus' text format.
     std::string exposition();
--- a/src/workflows/decisionlog.cpp
+++ b/src/workflows/decisionlog.cpp
@@ -39,29 +39,29 @@
         places += (places.empty() ? "" : ",") + std::to_string(placement.index) + "@"
             + std::to_string(idValue(placement.incarnation));
     }
-    logChange(LogLevel::Information, "placed",
-              {{"step", stepName(command.step)},
-               {"run", std::to_string(command.run)},
-               {"queue", queue},
-               {"account", account},
-               {"version", std::to_string(version)},
-               {"ageMs", std::to_string(ageMs)},
-               {"waitedMs", describe(waited)},
-               {"estimatedMs", std::to_string(estimatedMs)},
-               {"lives", places}});
+    logEvent(LogLevel::Information, "placed",
+             {{"step", stepName(command.step)},
+              {"run", std::to_string(command.run)},
+              {"queue", queue},
+              {"account", account},
+              {"version", std::to_string(version)},
+              {"ageMs", std::to_string(ageMs)},
+              {"waitedMs", describe(waited)},
+              {"estimatedMs", std::to_string(estimatedMs)},
+              {"lives", places}});
 }
 
 void logWorkflowEnded(const Workflow &workflow, std::int64_t atMs)
 {
-    logChange(LogLevel::Information, "job-over",
-              {{"job", workflowName(workflow.spec.id)},
-               {"state", std::string(enumName(workflowStateNames, workflow.state()))},
-               {"tookMs", std::to_string(atMs - workflow.spec.dueAtMs(0))}});
+    logEvent(LogLevel::Information, "job-over",
+             {{"job", workflowName(workflow.spec.id)},
+              {"state", std::string(enumName(workflowStateNames, workflow.state()))},
+              {"tookMs", std::to_string(atMs - workflow.spec.dueAtMs(0))}});
 }
 
 void logStoppingRuns(WorkflowId id, std::string_view why, std::size_t tasks)
 {
-    logChange(
+    logEvent(
         LogLevel::Information, "stopping-runs",
         {{"job", workflowName(id)}, {"why", std::string(why)}, {"tasks", std::to_string(tasks)}});
 }
@@ -69,14 +69,14 @@
 void logTargetUsable(const TargetIdentity &target, bool isUsable, const TargetStanding &standing)
 {
     const auto yesNo = [](bool value) { return std::string(value ? "yes" : "no"); };
-    logChange(LogLevel::Information, isUsable ? "target-usable" : "target-unusable",
-              {{"target", target.name},
-               {"ready", yesNo(standing.reportsReady)},
-               {"listed", yesNo(standing.hasRunList)},
-               {"fenced", yesNo(standing.isFenced)},
-               {"failures", std::to_string(standing.failures)},
-               {"foreign", std::to_string(standing.foreignRuns)},
-               {"answerAgeMs", std::to_string(standing.answerAge.count())}});
+    logEvent(LogLevel::Information, isUsable ? "target-usable" : "target-unusable",
+             {{"target", target.name},
+              {"ready", yesNo(standing.reportsReady)},
+              {"listed", yesNo(standing.hasRunList)},
+              {"fenced", yesNo(standing.isFenced)},
+              {"failures", std::to_string(standing.failures)},
+              {"foreign", std::to_string(standing.foreignRuns)},
+              {"answerAgeMs", std::to_string(standing.answerAge.count())}});
 }
 
 void logPlan(const PlanSummary &summary, std::size_t queries, std::size_t live)
@@ -86,30 +86,30 @@
         waiting +=
             (waiting.empty() ? "" : ",") + std::to_string(priority) + ":" + std::to_string(tasks);
     }
-    logChange(LogLevel::Information, "plan",
-              {{"waiting", waiting},
-               {"openTargets", std::to_string(summary.openTargets)},
-               {"freeMilliCores", std::to_string(summary.free[ResourceKind::MilliCores])},
-               {"freeMemoryMb", std::to_string(summary.free[ResourceKind::MemoryMb])},
-               {"capacityMilliCores", std::to_string(summary.capacityMilliCores)},
-               {"idleMilliCores", std::to_string(summary.idleMilliCores)},
-               {"claimedMilliCores", std::to_string(summary.claimedMilliCores)},
-               {"savedMilliCores", std::to_string(summary.reservedMilliCores)},
-               {"questions", std::to_string(queries)},
-               {"live", std::to_string(live)}});
+    logEvent(LogLevel::Information, "plan",
+             {{"waiting", waiting},
+              {"openTargets", std::to_string(summary.openTargets)},
+              {"freeMilliCores", std::to_string(summary.free[ResourceKind::MilliCores])},
+              {"freeMemoryMb", std::to_string(summary.free[ResourceKind::MemoryMb])},
+              {"capacityMilliCores", std::to_string(summary.capacityMilliCores)},
+              {"idleMilliCores", std::to_string(summary.idleMilliCores)},
+              {"claimedMilliCores", std::to_string(summary.claimedMilliCores)},
+              {"savedMilliCores", std::to_string(summary.reservedMilliCores)},
+              {"questions", std::to_string(queries)},
+              {"live", std::to_string(live)}});
 }
 
 void logLoopLag(Milliseconds lag)
 {
-    logChange(LogLevel::Warning, "loop-late", {{"lagMs", std::to_string(lag.count())}});
+    logEvent(LogLevel::Warning, "loop-late", {{"lagMs", std::to_string(lag.count())}});
 }
 
 void logPlacementRejected(const PlaceRuns &command, CommandOutcome outcome)
 {
-    logChange(LogLevel::Warning, "placement-dropped",
-              {{"step", stepName(command.step)},
-               {"run", std::to_string(command.run)},
-               {"outcome", std::string(enumName(commandOutcomeNames, outcome))}});
+    logEvent(LogLevel::Warning, "placement-dropped",
+             {{"step", stepName(command.step)},
+              {"run", std::to_string(command.run)},
+              {"outcome", std::string(enumName(commandOutcomeNames, outcome))}});
 }
 
 void logRunsEnded(IncarnationId incarnation, const std::vector<RunEnd> &ends)
@@ -119,53 +119,53 @@
         runs += (runs.empty() ? "" : ",") + taskName(end.task) + "#" + std::to_string(end.run) + "="
             + std::string(enumName(runOutcomeNames, end.outcome));
     }
-    logChange(LogLevel::Information, "runs-over",
-              {{"life", std::to_string(idValue(incarnation))}, {"runs", runs}});
+    logEvent(LogLevel::Information, "runs-over",
+             {{"life", std::to_string(idValue(incarnation))}, {"runs", runs}});
 }
 
 void logRunMoved(IncarnationId incarnation, const TaskAddress &task)
 {
-    logChange(LogLevel::Information, "run-moved",
-              {{"life", std::to_string(idValue(incarnation))}, {"task", taskName(task)}});
+    logEvent(LogLevel::Information, "run-moved",
+             {{"life", std::to_string(idValue(incarnation))}, {"task", taskName(task)}});
 }
 
 void logTargetTrust(IncarnationId incarnation, TargetTrust before, TargetTrust now)
 {
     if (before == now)
         return;
-    logChange(LogLevel::Information, "target-trust",
-              {{"life", std::to_string(idValue(incarnation))},
-               {"before", std::string(enumName(targetTrustNames, before))},
-               {"now", std::string(enumName(targetTrustNames, now))}});
+    logEvent(LogLevel::Information, "target-trust",
+             {{"life", std::to_string(idValue(incarnation))},
+              {"before", std::string(enumName(targetTrustNames, before))},
+              {"now", std::string(enumName(targetTrustNames, now))}});
 }
 
 void logAdmissionAnswered(const StepAddress &step, std::size_t asked, std::size_t admitted)
 {
-    logChange(LogLevel::Information, "admitted",
-              {{"step", stepName(step)},
-               {"asked", std::to_string(asked)},
-               {"admitted", std::to_string(admitted)}});
+    logEvent(LogLevel::Information, "admitted",
+             {{"step", stepName(step)},
+              {"asked", std::to_string(asked)},
+              {"admitted", std::to_string(admitted)}});
 }
 
 void logAdmissionFailed(const StepAddress &step, const Error &error)
 {
-    logChange(LogLevel::Warning, "admission-unanswered",
-              {{"step", stepName(step)}, {"error", error.message}});
+    logEvent(LogLevel::Warning, "admission-unanswered",
+             {{"step", stepName(step)}, {"error", error.message}});
 }
 
 void logAgentUnresponsive(const std::string &agent, std::size_t targets, const Error &error)
 {
-    logChange(LogLevel::Warning, "agent-doubted",
-              {{"agent", agent}, {"targets", std::to_string(targets)}, {"error", error.message}});
+    logEvent(LogLevel::Warning, "agent-doubted",
+             {{"agent", agent}, {"targets", std::to_string(targets)}, {"error", error.message}});
 }
 
 void logTargetStarted(const TargetIdentity &target)
 {
-    logChange(LogLevel::Information, "target-begun",
-              {{"target", target.name},
-               {"born", std::to_string(target.startedAtMs)},
-               {"address", target.address},
-               {"service", target.service}});
+    logEvent(LogLevel::Information, "target-begun",
+             {{"target", target.name},
+              {"born", std::to_string(target.startedAtMs)},
+              {"address", target.address},
+              {"service", target.service}});
 }
 
 void logCrash(IncarnationId incarnation, const std::map<TaskAddress, LossCount> &lost,
@@ -179,16 +179,16 @@
     std::string givenUpTasks;
     for (const TaskAddress &task : givenUp)
         givenUpTasks += (givenUpTasks.empty() ? "" : ",") + taskName(task);
-    logChange(LogLevel::Warning, "target-crashed",
-              {{"life", std::to_string(idValue(incarnation))},
-               {"crashes", counts},
-               {"givenUp", givenUpTasks}});
+    logEvent(LogLevel::Warning, "target-crashed",
+             {{"life", std::to_string(idValue(incarnation))},
+              {"crashes", counts},
+              {"givenUp", givenUpTasks}});
 }
 
 void logTargetAlive(IncarnationId incarnation)
 {
-    logChange(LogLevel::Information, "target-alive",
-              {{"life", std::to_string(idValue(incarnation))}});
+    logEvent(LogLevel::Information, "target-alive",
+             {{"life", std::to_string(idValue(incarnation))}});
 }
 
 void logTargetResized(const TargetIdentity &target, const Resources &before)
@@ -196,42 +196,42 @@
     const auto change = [&](ResourceKind kind) {
         return std::to_string(before[kind]) + ">" + std::to_string(target.capacity[kind]);
     };
-    logChange(LogLevel::Information, "target-resized",
-              {{"target", target.name},
-               {"milliCores", change(ResourceKind::MilliCores)},
-               {"memoryMb", change(ResourceKind::MemoryMb)},
-               {"accelerators", change(ResourceKind::Accelerators)}});
+    logEvent(LogLevel::Information, "target-resized",
+             {{"target", target.name},
+              {"milliCores", change(ResourceKind::MilliCores)},
+              {"memoryMb", change(ResourceKind::MemoryMb)},
+              {"accelerators", change(ResourceKind::Accelerators)}});
 }
 
 void logTargetEnded(const TargetIdentity &target, IncarnationEnd how)
 {
-    logChange(LogLevel::Warning, "target-over",
-              {{"target", target.name},
-               {"born", std::to_string(target.startedAtMs)},
-               {"how", std::string(enumName(incarnationEndNames, how))}});
+    logEvent(LogLevel::Warning, "target-over",
+             {{"target", target.name},
+              {"born", std::to_string(target.startedAtMs)},
+              {"how", std::string(enumName(incarnationEndNames, how))}});
 }
 
 void logDomainEvacuation(const std::string &failureDomain, bool isEvacuated, std::size_t targets,
                          std::size_t runs)
 {
-    logChange(LogLevel::Warning, isEvacuated ? "domain-evacuated" : "domain-open",
-              {{"failureDomain", failureDomain},
-               {"targets", std::to_string(targets)},
-               {"runs", std::to_string(runs)}});
+    logEvent(LogLevel::Warning, isEvacuated ? "domain-evacuated" : "domain-open",
+             {{"failureDomain", failureDomain},
+              {"targets", std::to_string(targets)},
+              {"runs", std::to_string(runs)}});
 }
 
 void logConfigurationInForce(std::int64_t version, const Policy &policy)
 {
-    logChange(LogLevel::Information, "configuration-in-force",
-              {{"version", std::to_string(version)},
-               {"queues", std::to_string(policy.queues.size())},
-               {"accounts", std::to_string(policy.accounts.size())}});
+    logEvent(LogLevel::Information, "configuration-in-force",
+             {{"version", std::to_string(version)},
+              {"queues", std::to_string(policy.queues.size())},
+              {"accounts", std::to_string(policy.accounts.size())}});
 }
 
 void logConfigurationUnreadable(std::int64_t version, const Error &error)
 {
-    logChange(LogLevel::Error, "configuration-unreadable",
-              {{"version", std::to_string(version)}, {"error", error.message}});
+    logEvent(LogLevel::Error, "configuration-unreadable",
+             {{"version", std::to_string(version)}, {"error", error.message}});
 }
 
 } // namespace guavavalve::workflows
--- a/test/runtime/loggingtest.cpp
+++ b/test/runtime/loggingtest.cpp
@@ -46,8 +46,8 @@
         options.format = LogFormat::Json;
         options.file = file.path;
         const Logging logging(options);
-        logChange(LogLevel::Warning, "target quarantined",
-                  {{"target", "press \"7\"\n"}, {"reason", std::string("\xff")}});
+        logEvent(LogLevel::Warning, "target quarantined",
+                 {{"target", "press \"7\"\n"}, {"reason", std::string("\xff")}});
     }
     const nlohmann::json line = nlohmann::json::parse(file.firstLine());
     CHECK(line["level"] == "warning");
@@ -63,8 +63,8 @@
         LogOptions options;
         options.file = file.path;
         const Logging logging(options);
-        logChange(LogLevel::Debug, "not written");
-        logChange(LogLevel::Information, "leader", {{"instance", "r1"}, {"why", "a b"}});
+        logEvent(LogLevel::Debug, "not written");
+        logEvent(LogLevel::Information, "leader", {{"instance", "r1"}, {"why", "a b"}});
     }
     CHECK(file.firstLine().find("leader instance=r1 why=\"a b\"") != std::string::npos);
 }
--- a/test/runtime/metricstest.cpp
+++ b/test/runtime/metricstest.cpp
@@ -79,8 +79,9 @@
 {
     Metrics metrics;
     double total = 5.0;
-    metrics.addSource([&total](Metrics &m) { m.countUpTo(Metric::FramesRejectedTotal, total); });
-    metrics.addSource(refreshProcessMetrics);
+    metrics.addRefreshCallback(
+        [&total](Metrics &m) { m.raiseCounterTo(Metric::FramesRejectedTotal, total); });
+    metrics.addRefreshCallback(refreshProcessMetrics);
     CHECK(contains(metrics.exposition(), "guavavalve_frames_rejected_total 5"));
     total = 3.0;
     const std::string text = metrics.exposition();
