--- a/test/platform/standinplatform.cpp
+++ b/test/platform/standinplatform.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-StandInWorker::StandInWorker(std::string name, const std::string &address)
+FakeTarget::FakeTarget(std::string name, const std::string &address)
     : ownName(std::move(name))
     , listenIp(address)
     , server(listenOn(address, this->loop))
@@ -37,22 +37,22 @@
         std::abort();
 }
 
-std::string StandInWorker::address() const
+std::string FakeTarget::address() const
 {
     return this->listenIp + ":" + std::to_string(this->server.port());
 }
 
-std::int64_t StandInWorker::clockMs() const
+std::int64_t FakeTarget::clockMs() const
 {
     return 1 + std::chrono::duration_cast<Milliseconds>(monotonicNow() - this->born).count();
 }
 
-nlohmann::json StandInWorker::envelope() const
+nlohmann::json FakeTarget::envelope() const
 {
     return {{"ClockMs", this->clockMs()}, {"born", this->bornAtMs}};
 }
 
-std::string StandInWorker::heartbeat()
+std::string FakeTarget::heartbeat()
 {
     const std::lock_guard lock(this->mutex);
     return nlohmann::json{{"Service", "s"},
@@ -67,7 +67,7 @@
         .dump();
 }
 
-HttpResponse StandInWorker::start(const nlohmann::json &body)
+HttpResponse FakeTarget::start(const nlohmann::json &body)
 {
     const std::lock_guard lock(this->mutex);
     const std::string task = body.at("TaskId");
@@ -84,7 +84,7 @@
     return {200, {}, this->envelope().dump()};
 }
 
-HttpResponse StandInWorker::stop(const nlohmann::json &body)
+HttpResponse FakeTarget::stop(const nlohmann::json &body)
 {
     const std::lock_guard lock(this->mutex);
     const std::string task = body.at("TaskId");
@@ -95,7 +95,7 @@
     return {200, {}, this->envelope().dump()};
 }
 
-HttpResponse StandInWorker::hold(const nlohmann::json &body)
+HttpResponse FakeTarget::hold(const nlohmann::json &body)
 {
     const std::lock_guard lock(this->mutex);
     const std::uint64_t seen = body.at("LastSeen");
@@ -112,13 +112,13 @@
     return {200, {}, answer.dump()};
 }
 
-std::size_t StandInWorker::startsOf(const std::string &task) const
+std::size_t FakeTarget::startsOf(const std::string &task) const
 {
     const std::lock_guard lock(this->mutex);
     return this->started.count(task);
 }
 
-std::size_t StandInWorker::starts() const
+std::size_t FakeTarget::starts() const
 {
     const std::lock_guard lock(this->mutex);
     return this->started.size();
--- a/test/platform/standinplatform.h
+++ b/test/platform/standinplatform.h
@@ -17,10 +17,10 @@
 
 /// A stand-in for one of the platform's workers: starts what it is told, ends it with success after
 /// a while, and lists both. It remembers each task's starts.
-class StandInWorker
+class FakeTarget
 {
 public:
-    StandInWorker(std::string name, const std::string &address);
+    FakeTarget(std::string name, const std::string &address);
 
     const std::string &name() const { return this->ownName; }
     std::string address() const;
--- a/test/platform/wholepathtest.cpp
+++ b/test/platform/wholepathtest.cpp
@@ -158,7 +158,7 @@
     std::vector<std::string> seeds;
     std::shared_ptr<IoLoop> loop = std::make_shared<IoLoop>();
     HttpClient client{this->loop, HttpClientOptions()};
-    StandInWorker worker;
+    FakeTarget worker;
     std::vector<std::unique_ptr<Node>> nodes;
     std::atomic<bool> beating{false};
     std::future<void> beats;
