--- a/test/platform/standinplatform.cpp
+++ b/test/platform/faketarget.cpp
@@ -1,4 +1,4 @@
-#include "platform/standinplatform.h"
+#include "platform/faketarget.h"
 
 #include <algorithm>
 #include <utility>
--- a/test/platform/wholepathtest.cpp
+++ b/test/platform/wholepathtest.cpp
@@ -1,9 +1,9 @@
 #include <catch2/catch.hpp>
 
 #include "fakes/eventually.h"
+#include "platform/faketarget.h"
 #include "platform/node.h"
 #include "platform/nodedescriptors.h"
-#include "platform/standinplatform.h"
 #include "replicas/temporaryfolder.h"
 #include "runtime/httpclient.h"
 
--- a/test/runtime/platformroutestest.cpp
+++ b/test/runtime/serviceroutestest.cpp
@@ -1,8 +1,8 @@
+#include "runtime/serviceroutes.h"
 #include "runtime/httperror.h"
 #include "runtime/httpserver.h"
 #include "runtime/metrics.h"
 #include "runtime/readiness.h"
-#include "runtime/serviceroutes.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
