--- a/src/daemon/controllermetrics.cpp
+++ b/src/daemon/controllermetrics.cpp
@@ -1,6 +1,6 @@
 #include "daemon/controllermetrics.h"
 
-#include "daemon/replicapart.h"
+#include "daemon/replicaruntime.h"
 #include "runtime/metrics.h"
 
 #include <algorithm>
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -5,7 +5,7 @@
 #include "controller/controllerlink.h"
 #include "controller/remotecontroller.h"
 #include "daemon/controllermetrics.h"
-#include "daemon/replicapart.h"
+#include "daemon/replicaruntime.h"
 #include "operators/operatorroutes.h"
 #include "replicas/tcpmessenger.h"
 #include "runtime/httpserver.h"
--- a/src/daemon/replicapart.cpp
+++ b/src/daemon/replicaruntime.cpp
@@ -1,4 +1,4 @@
-#include "daemon/replicapart.h"
+#include "daemon/replicaruntime.h"
 
 #include "controller/controllerservice.h"
 #include "controller/operatorwiring.h"
--- a/test/standin/standintarget.cpp
+++ b/test/standin/standintarget.cpp
@@ -5,8 +5,8 @@
 #include "runtime/timerqueue.h"
 #include "standin/announcer.h"
 #include "standin/attempttable.h"
+#include "standin/faultinjection.h"
 #include "standin/ledger.h"
-#include "standin/misbehaviour.h"
 #include "targets/announcementjson.h"
 #include "targets/targetcontract.h"
 
