--- a/bench/replicas/synceachstorage.h
+++ b/bench/replicas/synceachstorage.h
@@ -11,8 +11,8 @@
 class SyncEachStorage : public Storage
 {
 public:
-    explicit SyncEachStorage(std::unique_ptr<Storage> real)
-        : storage(std::move(real))
+    explicit SyncEachStorage(std::unique_ptr<Storage> wrapped)
+        : storage(std::move(wrapped))
     {}
 
     Result<RecoveredState> recover() override { return this->storage->recover(); }
--- a/src/replicas/grouprouter.cpp
+++ b/src/replicas/grouprouter.cpp
@@ -13,7 +13,7 @@
 constexpr std::array logMethods{Method::PreVote, Method::Vote, Method::AppendEntries,
                                 Method::InstallSnapshot, Method::TimeoutNow};
 
-/// The group is the first member of a RaftMessage.
+/// Decodes only the group, which is the first member of a RaftMessage.
 std::optional<GroupId> groupOf(std::string_view message)
 {
     const auto group = decode<std::uint32_t>(message.substr(0, sizeof(std::uint32_t)));
--- a/src/replicas/messenger.h
+++ b/src/replicas/messenger.h
@@ -41,9 +41,9 @@
 
 /// Authenticated calls between instances over TCP.
 ///
-/// Each frame is length-capped, versioned, bound to the cluster's identity and authenticated; a
+/// Each frame is limited in length, versioned, bound to the cluster's identity and authenticated; a
 /// frame that fails one of these checks is counted and dropped. A connection on which nothing has
-/// arrived past the heartbeat's deadline is replaced.
+/// arrived within MessengerOptions::idleTimeout is replaced.
 class Messenger
 {
 public:
--- a/src/replicas/messengercounters.h
+++ b/src/replicas/messengercounters.h
@@ -13,7 +13,7 @@
     std::uint64_t bytesReceived = 0;
     std::uint64_t badHandshakes = 0; ///< wrong magic, version or cluster
     std::uint64_t unauthenticatedFrames = 0; ///< dropped: the authentication tag is wrong
-    std::uint64_t oversizedFrames = 0; ///< dropped: longer than the cap
+    std::uint64_t oversizedFrames = 0; ///< dropped: longer than the maximum frame size
     std::uint64_t malformedFrames = 0; ///< dropped: authentic but not decodable
     std::uint64_t connectionsOpened = 0;
     std::uint64_t connectionsReplaced = 0; ///< nothing received within the idle timeout
--- a/src/replicas/messengeroptions.h
+++ b/src/replicas/messengeroptions.h
@@ -25,6 +25,7 @@
     /// new one.
     Milliseconds idleTimeout{2000};
     Milliseconds connectTimeout{1000}; ///< for connecting and for the handshake
+    /// Delay after a failed connection attempt; doubles with each failure.
     Milliseconds backoffMin{20};
     Milliseconds backoffMax{300};
 };
--- a/src/replicas/presencetable.cpp
+++ b/src/replicas/presencetable.cpp
@@ -20,20 +20,20 @@
     const Instant now = this->clock();
     const std::lock_guard lock(this->mutex);
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
-        const bool isExpired = now > entry->second.heardAt + entryLifetime;
+        const bool isExpired = now > entry->second.receivedAt + entryLifetime;
         entry = isExpired ? this->entries.erase(entry) : std::next(entry);
     }
     if (this->entries.size() < maxEntries || this->entries.count(report.instance) != 0)
         this->entries[report.instance] = {report, now};
 }
 
-std::vector<PresenceReport> PresenceTable::present(Milliseconds within) const
+std::vector<PresenceReport> PresenceTable::present(Milliseconds maxAge) const
 {
     const Instant now = this->clock();
     const std::lock_guard lock(this->mutex);
     std::vector<PresenceReport> found;
     for (const auto &[instance, entry] : this->entries) {
-        if (now <= entry.heardAt + within)
+        if (now <= entry.receivedAt + maxAge)
             found.push_back(entry.report);
     }
     return found;
--- a/src/replicas/presencetable.h
+++ b/src/replicas/presencetable.h
@@ -16,14 +16,14 @@
     explicit PresenceTable(Clock clock = monotonicNow);
 
     void record(const PresenceReport &report);
-    /// The reports received within the last \a within, ordered by instance.
-    std::vector<PresenceReport> present(Milliseconds within) const;
+    /// The reports that are no older than \a maxAge, ordered by instance.
+    std::vector<PresenceReport> present(Milliseconds maxAge) const;
 
 private:
     struct Entry
     {
         PresenceReport report;
-        Instant heardAt{};
+        Instant receivedAt{};
     };
 
     Clock clock;
--- a/src/replicas/raftdriver.h
+++ b/src/replicas/raftdriver.h
@@ -101,10 +101,10 @@
     void onIdentifyRequest(const RaftMessage &message, const IdentifyRequest &request,
                            const Done<std::string> &reply);
     void onMemberIdentified(const std::shared_ptr<PendingFormation> &pending, std::size_t position,
-                            const Result<IdentityReply> &found);
+                            const Result<IdentityReply> &identity);
     void releaseMembers(const std::shared_ptr<PendingFormation> &pending);
     void formWhenIdentified(const std::shared_ptr<PendingFormation> &pending);
-    void join(const ReplicaMember &member, const IdentityReply &found, ReplicaId replaces,
+    void join(const ReplicaMember &member, const IdentityReply &identity, ReplicaId replaces,
               Done<Nothing> done);
     void completeMembershipChanges();
     void replaceUnresponsiveVoter();
@@ -141,8 +141,8 @@
     std::vector<Done<Nothing>> pendingTransfers;
     std::uint64_t ledTerm = 0; ///< term in which this replica leads; zero: it does not lead
     std::uint64_t announcedTerm = 0; ///< term reported to onLeadership as led; zero: none
-    std::size_t sparesTried = 0;
-    Instant nextReplacement{};
+    std::size_t sparesTried = 0; ///< selects the next spare in turn
+    Instant nextReplacement{}; ///< earliest next attempt to replace a voter
     std::uint64_t reservedForFormation = 0;
     Instant reservedUntil{};
     bool isTakingSnapshot = false;
--- a/src/replicas/raftdrivermembers.cpp
+++ b/src/replicas/raftdrivermembers.cpp
@@ -40,15 +40,15 @@
         const auto self = weak.lock();
         if (!self)
             return;
-        Result<IdentityReply> found =
+        Result<IdentityReply> outcome =
             failure(ErrorCode::Corrupt, "the reply does not identify a replica");
         if (!reply) {
-            found = reply.error();
+            outcome = reply.error();
         } else if (auto decoded = decode<RaftMessage>(reply.value())) {
             if (const auto *identity = std::get_if<IdentityReply>(&decoded.value().body))
-                found = *identity;
+                outcome = *identity;
         }
-        self->post([done, found] { done(found); }, OverflowPolicy::Accept);
+        self->post([done, outcome] { done(outcome); }, OverflowPolicy::Accept);
     };
     this->router.messenger().call(address, Method::AppendEntries, encode(message), deadline,
                                   std::move(answered));
@@ -107,8 +107,8 @@
         pending->awaited = others.size();
         for (const auto &[position, address] : others) {
             this->identify(address, IdentifyRequest{pending->list.formation, 0},
-                           [this, pending, at = position](const Result<IdentityReply> &found) {
-                               this->onMemberIdentified(pending, at, found);
+                           [this, pending, at = position](const Result<IdentityReply> &identity) {
+                               this->onMemberIdentified(pending, at, identity);
                            });
         }
         if (others.empty())
@@ -121,25 +121,25 @@
 /// Every member must answer, must not belong to a group yet, and must be reserved for this
 /// formation, so that two concurrent formations with common members cannot both succeed.
 void RaftDriver::onMemberIdentified(const std::shared_ptr<PendingFormation> &pending,
-                                    std::size_t position, const Result<IdentityReply> &found)
+                                    std::size_t position, const Result<IdentityReply> &identity)
 {
     MemberRecord &member = pending->list.members[position];
-    if (!found) {
+    if (!identity) {
         pending->outcome = failure(ErrorCode::Unavailable,
                                    member.instance + " at " + member.address
-                                       + " did not answer: " + found.error().message);
-    } else if (found.value().instance != member.instance) {
+                                       + " did not answer: " + identity.error().message);
+    } else if (identity.value().instance != member.instance) {
         pending->outcome = failure(ErrorCode::InvalidArgument,
                                    "the instance at " + member.address + " is "
-                                       + found.value().instance + ", not " + member.instance);
-    } else if (found.value().formation != 0) {
+                                       + identity.value().instance + ", not " + member.instance);
+    } else if (identity.value().formation != 0) {
         pending->outcome =
             failure(ErrorCode::Conflict, member.instance + " already belongs to a formed group");
-    } else if (found.value().reservedForFormation != pending->list.formation) {
+    } else if (identity.value().reservedForFormation != pending->list.formation) {
         pending->outcome =
             failure(ErrorCode::Conflict, member.instance + " is reserved for another formation");
     } else {
-        member.replica = found.value().replica;
+        member.replica = identity.value().replica;
     }
     if (--pending->awaited == 0)
         this->formWhenIdentified(pending);
@@ -196,34 +196,34 @@
             return;
         }
         this->identify(member.address, IdentifyRequest(),
-                       [this, member, done](Result<IdentityReply> found) {
-                           if (found)
-                               this->join(member, found.value(), ReplicaId::None, done);
+                       [this, member, done](Result<IdentityReply> identity) {
+                           if (identity)
+                               this->join(member, identity.value(), ReplicaId::None, done);
                            else
-                               done(found.error());
+                               done(identity.error());
                        });
     });
     if (!isPosted)
         done(failure(ErrorCode::Unavailable, "this replica is not running"));
 }
 
-void RaftDriver::join(const ReplicaMember &member, const IdentityReply &found, ReplicaId replaces,
-                      Done<Nothing> done)
+void RaftDriver::join(const ReplicaMember &member, const IdentityReply &identity,
+                      ReplicaId replaces, Done<Nothing> done)
 {
-    if (found.instance != member.instance) {
+    if (identity.instance != member.instance) {
         done(failure(ErrorCode::InvalidArgument,
-                     "the instance at " + member.address + " is " + found.instance + ", not "
+                     "the instance at " + member.address + " is " + identity.instance + ", not "
                          + member.instance));
         return;
     }
-    if (found.formation != 0 && found.formation != this->core->formation()) {
+    if (identity.formation != 0 && identity.formation != this->core->formation()) {
         done(failure(ErrorCode::Conflict, member.instance + " belongs to another group"));
         return;
     }
-    auto index =
-        this->core->addLearner({member.instance, found.replica, member.address, false, replaces});
+    auto index = this->core->addLearner(
+        {member.instance, identity.replica, member.address, false, replaces});
     if (index)
-        this->pendingJoins.push_back({found.replica, std::move(done)});
+        this->pendingJoins.push_back({identity.replica, std::move(done)});
     else
         done(index.error());
 }
@@ -313,9 +313,9 @@
         return;
     const ReplicaMember spare = candidates[this->sparesTried++ % candidates.size()];
     this->identify(spare.address, IdentifyRequest(),
-                   [this, spare, replaces = gone->replica](const Result<IdentityReply> &found) {
-                       if (found)
-                           this->join(spare, found.value(), replaces,
+                   [this, spare, replaces = gone->replica](const Result<IdentityReply> &identity) {
+                       if (identity)
+                           this->join(spare, identity.value(), replaces,
                                       [](const Result<Nothing> &) {});
                    });
 }
--- a/src/replicas/raftdriversend.cpp
+++ b/src/replicas/raftdriversend.cpp
@@ -70,7 +70,7 @@
 {
     UnsavedOutput::Hooks hooks;
     hooks.send = [this](std::vector<OutgoingMessage> &messages) { this->send(messages); };
-    hooks.installed = [this](InstalledSnapshot snapshot) {
+    hooks.onSnapshotSaved = [this](InstalledSnapshot snapshot) {
         this->bytesSinceSnapshot = 0;
         const LogIndex index = snapshot.meta.index;
         this->applier.push(std::move(snapshot));
@@ -99,7 +99,7 @@
         this->options.onDiskRefusal(stored ? std::nullopt : std::optional<Error>(stored.error()));
 }
 
-/// Segments that a full disk refuses to release are released after the next snapshot.
+/// Segments that a full disk refuses to delete are deleted after the next snapshot.
 Result<void> RaftDriver::releaseSegments(LogIndex through)
 {
     auto released = this->storage->release(through);
--- a/src/replicas/raftoptions.h
+++ b/src/replicas/raftoptions.h
@@ -58,8 +58,8 @@
     std::function<void(bool leads, std::uint64_t term)> onLeadership;
     /// Limit for entries that are held in memory while the disk refuses writes. At half of it a
     /// leader transfers leadership; beyond it the replica stops participating in the group until
-    /// the disk accepts them. At 250 KB/s, four times the write rate of the users' cells, half of
-    /// it is reached after 16 s.
+    /// the disk accepts them. At 250 KB/s, four times the write rate of the expected deployments,
+    /// half of it is reached after 16 s.
     std::size_t maxUnsavedBytes = 8U << 20U;
     /// Called on the log's thread when the disk starts to refuse writes, and with std::nullopt when
     /// it accepts them again.
--- a/src/replicas/replicatedlog.h
+++ b/src/replicas/replicatedlog.h
@@ -27,7 +27,9 @@
     InstanceId instance;
     std::string address; ///< "ip:port" of its messenger
     bool voter = false;
-    LogIndex matchIndex = 0; ///< known to be synced there; only the leader knows that of others
+    /// Highest index that this member is known to have synced. Only the leader knows it for other
+    /// members; it is zero if unknown.
+    LogIndex matchIndex = 0;
 
     template<typename Archive>
     void serialize(Archive &archive)
--- a/src/replicas/securesession.h
+++ b/src/replicas/securesession.h
@@ -34,7 +34,8 @@
     /// Processes the peer's hello, without its length prefix, and derives the keys.
     /// \errors Corrupt if it cannot be decoded; Conflict for another version or cluster.
     Result<void> accept(std::string_view hello);
-    /// The instance named in the peer's hello; not authenticated until its first frame opens.
+    /// The instance named in the peer's hello; not authenticated until its first frame is
+    /// decrypted.
     const InstanceId &peer() const { return this->peerInstance; }
 
     /// Encrypts \a plain into a frame with a length prefix.
--- a/src/replicas/tcpconnection.cpp
+++ b/src/replicas/tcpconnection.cpp
@@ -77,7 +77,7 @@
     this->readFrame();
 }
 
-std::uint32_t TcpConnection::frameCap() const
+std::uint32_t TcpConnection::maxFrameLength() const
 {
     const auto cap = static_cast<std::uint32_t>(this->options->maxFrameBytes);
     return this->isReady ? cap + static_cast<std::uint32_t>(SecureSession::tagBytes)
@@ -89,9 +89,9 @@
     auto handler = [self = this->shared_from_this()](boost::system::error_code error, std::size_t) {
         if (error || !self->isOpen)
             return self->close();
-        // A peer must not make this side allocate whatever length it claims. Frame boundaries are
+        // A peer must not make this side allocate whatever length it declares. Frame boundaries are
         // lost after such a frame, so this connection is closed; no other is affected.
-        if (self->readingLength > self->frameCap()) {
+        if (self->readingLength > self->maxFrameLength()) {
             ++self->counters->oversizedFrames;
             return self->close();
         }
--- a/src/replicas/tcpconnection.h
+++ b/src/replicas/tcpconnection.h
@@ -29,7 +29,8 @@
     {
         std::function<void()> onReady; ///< the peer has proved that it knows the shared secret
         std::function<void(WireFrame frame)> onFrame;
-        /// Called once. \a unsent: the ids of the calls that were not passed to the socket.
+        /// Called exactly once, when the connection is closed. \a unsent: the ids of the calls that
+        /// were not passed to the socket.
         std::function<void(const std::vector<std::uint64_t> &unsent)> onClosed;
     };
 
@@ -59,7 +60,7 @@
     void enqueue(std::string bytes, std::uint64_t callId);
     void writeNext();
     void scheduleHeartbeat();
-    std::uint32_t frameCap() const;
+    std::uint32_t maxFrameLength() const;
 
     Socket socket;
     boost::asio::steady_timer timer;
--- a/src/replicas/unsavedoutput.cpp
+++ b/src/replicas/unsavedoutput.cpp
@@ -40,7 +40,7 @@
         this->queue.pop_front();
         this->heldBytes -= bytesOf(done);
         if (done.snapshot) {
-            if (auto installed = hooks.installed(std::move(*done.snapshot)); !installed)
+            if (auto installed = hooks.onSnapshotSaved(std::move(*done.snapshot)); !installed)
                 return installed;
         }
         hooks.send(done.afterSync);
--- a/src/replicas/unsavedoutput.h
+++ b/src/replicas/unsavedoutput.h
@@ -14,10 +14,10 @@
 
 /// Queues the output of a RaftCore, in order, until the disk has accepted it.
 ///
-/// A replica must neither exit because its disk is full nor vouch for anything that it has not
-/// stored. Output that the disk refuses is kept and retried in order; the votes, acknowledgements
-/// and candidacies that depend on it are sent only after it is stored. A leader keeps working
-/// meanwhile: an entry commits once a quorum of the other replicas has stored it.
+/// A replica must neither exit because its disk is full nor send a message that depends on anything
+/// that it has not stored. Output that the disk refuses is kept and retried in order; the votes,
+/// acknowledgements and candidacies that depend on it are sent only after it is stored. A leader
+/// keeps working meanwhile: an entry commits once a quorum of the other replicas has stored it.
 class UnsavedOutput
 {
 public:
@@ -25,7 +25,7 @@
     {
         std::function<void(std::vector<OutgoingMessage> &messages)> send;
         /// Called after a snapshot was saved: replaces the state and releases older segments.
-        std::function<Result<void>(InstalledSnapshot snapshot)> installed;
+        std::function<Result<void>(InstalledSnapshot snapshot)> onSnapshotSaved;
     };
 
     /// Sends the messages that do not depend on storage and queues the rest.
@@ -37,7 +37,8 @@
 
     /// True when RaftCore::persisted() may be called.
     bool isEmpty() const { return this->queue.empty(); }
-    /// True while an unsaved snapshot is queued; committed entries may lie beyond it.
+    /// True while an unsaved snapshot is queued. Committed entries may lie beyond it and must not
+    /// be applied before it.
     bool holdsSnapshot() const;
     /// Approximate memory taken by unsaved entries and snapshots.
     std::size_t bytes() const { return this->heldBytes; }
--- a/src/replicas/wireframe.h
+++ b/src/replicas/wireframe.h
@@ -14,8 +14,7 @@
     /// Values are part of the wire format.
     enum class Kind : std::uint8_t { Heartbeat = 0, Call = 1, Reply = 2, ErrorReply = 3 };
 
-    static constexpr std::size_t overheadBytes =
-        64; ///< upper bound for everything except the payload
+    static constexpr std::size_t overheadBytes = 64; ///< bound for all but the payload
 
     Kind kind = Kind::Heartbeat;
     std::uint64_t callId = 0; ///< unique on the caller's connection
--- a/test/replicas/failingstorage.h
+++ b/test/replicas/failingstorage.h
@@ -12,10 +12,10 @@
 class FailingStorage : public Storage
 {
 public:
-    FailingStorage(std::unique_ptr<Storage> real, std::shared_ptr<std::atomic<bool>> switchedOn,
+    FailingStorage(std::unique_ptr<Storage> wrapped, std::shared_ptr<std::atomic<bool>> shouldFail,
                    ErrorCode code)
-        : storage(std::move(real))
-        , fails(std::move(switchedOn))
+        : storage(std::move(wrapped))
+        , fails(std::move(shouldFail))
         , code(code)
     {}
 
--- a/test/replicas/fulldisktest.cpp
+++ b/test/replicas/fulldisktest.cpp
@@ -98,6 +98,6 @@
     CHECK(waitFor([&] { return replica.acknowledged == 1; }));
     CHECK(replica.recoveries == 1);
     CHECK(replica.refusals == 1);
-    CHECK(replica.stops == 0);
+    CHECK(replica.storageFailures == 0);
     CHECK(replica.machine.commands().size() == 1);
 }
--- a/test/replicas/raftnodefailuretest.cpp
+++ b/test/replicas/raftnodefailuretest.cpp
@@ -49,7 +49,7 @@
     SingleReplica replica(ErrorCode::Unavailable);
     replica.setFailing(true);
     replica.propose("lost");
-    CHECK(waitFor([&] { return replica.stops == 1; }));
+    CHECK(waitFor([&] { return replica.storageFailures == 1; }));
     CHECK_FALSE(replica.node->holdsLeaderLease());
     replica.propose("later");
     CHECK(waitFor([&] { return replica.ended == 1; }));
@@ -230,12 +230,12 @@
           "[raftnode]")
 {
     std::mutex mutex;
-    std::vector<std::string> told;
+    std::vector<std::string> reported;
     TestGroup group([&](RaftOptions &options) {
         options.onLeadership = [&, name = options.instance](bool leads, std::uint64_t) {
             const std::size_t applied = group.at(name).machine.commands().size();
             const std::lock_guard lock(mutex);
-            told.push_back((leads ? "leads with " : "lost with ") + std::to_string(applied));
+            reported.push_back((leads ? "leads with " : "lost with ") + std::to_string(applied));
         };
     });
     startAndForm(group, {"a", "b", "c"});
@@ -248,10 +248,10 @@
     REQUIRE(group.propose("six"));
     for (const char *name : {"a", "b", "c"})
         group.at(name).node->stop();
-    REQUIRE(told.size() >= 3);
-    CHECK(told.front() == "leads with 0");
-    CHECK(std::count(told.begin(), told.end(), "lost with 5") >= 1);
-    CHECK(std::count(told.begin(), told.end(), "leads with 5") >= 1);
+    REQUIRE(reported.size() >= 3);
+    CHECK(reported.front() == "leads with 0");
+    CHECK(std::count(reported.begin(), reported.end(), "lost with 5") >= 1);
+    CHECK(std::count(reported.begin(), reported.end(), "leads with 5") >= 1);
 }
 
 // The leader's process is suspended and resumes. The others may have elected a new leader
--- a/test/replicas/raftsimulation.cpp
+++ b/test/replicas/raftsimulation.cpp
@@ -157,7 +157,7 @@
     hooks.send = [this, index](std::vector<OutgoingMessage> &messages) {
         this->send(index, messages);
     };
-    hooks.installed = [this, index](const InstalledSnapshot &snapshot) -> Result<void> {
+    hooks.onSnapshotSaved = [this, index](const InstalledSnapshot &snapshot) -> Result<void> {
         Node &node = this->nodes[index];
         ++this->snapshotsInstalled;
         if (snapshot.meta.index < node.applied)
--- a/test/replicas/singlereplica.h
+++ b/test/replicas/singlereplica.h
@@ -26,7 +26,7 @@
         options.instance = "a";
         options.address = "127.0.0.1:" + std::to_string(this->messenger.port());
         options.clusterId = "test";
-        options.onStorageFailure = [this](const Error &) { ++this->stops; };
+        options.onStorageFailure = [this](const Error &) { ++this->storageFailures; };
         options.onDiskRefusal = [this](const std::optional<Error> &refusal) {
             ++(refusal ? this->refusals : this->recoveries);
         };
@@ -61,7 +61,7 @@
         });
     }
 
-    std::atomic<int> stops{0};
+    std::atomic<int> storageFailures{0};
     std::atomic<int> refusals{0};
     std::atomic<int> recoveries{0};
     std::atomic<int> acknowledged{0};
--- a/test/replicas/tcpmessengertest.cpp
+++ b/test/replicas/tcpmessengertest.cpp
@@ -168,7 +168,7 @@
 
 // An unrelated client or an instance of another cluster connects and sends data. Its frames must be
 // counted and dropped, and other callers of the same instance must not be affected.
-TEST_CASE("foreign, forged and oversized frames are dropped without affecting other callers",
+TEST_CASE("frames from outside the cluster, forged and oversized ones do not affect other callers",
           "[messenger]")
 {
     ServerAndCaller pair;
@@ -199,7 +199,7 @@
         SecureSession session("test", "caller", secret, true);
         large.send(session.hello());
         REQUIRE(session.accept(large.receive()));
-        large.send(std::string("\x00\x00\x40\x00", 4)); // claims 4 MB before it is authenticated
+        large.send(std::string("\x00\x00\x40\x00", 4)); // declares 4 MB before it is authenticated
         large.drain();
     }
     CHECK(waitFor([&] { return pair.server.counters().oversizedFrames == 1; }));
