--- a/src/runtime/bearertoken.cpp
+++ b/src/runtime/bearertoken.cpp
@@ -12,7 +12,7 @@
     const std::string value = request.header("Authorization");
     if (value.compare(0, scheme.size(), scheme) != 0 || value.size() == scheme.size())
         return failure(ErrorCode::Unauthenticated,
-                       "show your key in the header \"Authorization: Bearer KEYID:SECRET\"");
+                       "send the key in the header \"Authorization: Bearer KEYID:SECRET\"");
     return value.substr(scheme.size());
 }
 
--- a/src/runtime/bearertoken.h
+++ b/src/runtime/bearertoken.h
@@ -8,8 +8,8 @@
 
 struct HttpRequest;
 
-/// The token of "Authorization: Bearer TOKEN" (RFC 6750, section 2.1).
-/// \errors Unauthenticated if there is none.
+/// Returns the token of the header "Authorization: Bearer TOKEN" (RFC 6750, section 2.1).
+/// \errors Unauthenticated if the header is missing or has another form.
 Result<std::string> bearerToken(const HttpRequest &request);
 
 } // namespace guavavalve
--- a/src/runtime/descriptorbudget.h
+++ b/src/runtime/descriptorbudget.h
@@ -10,14 +10,14 @@
 
 namespace guavavalve {
 
-/// What a process opens file descriptors for.
+/// The purposes for which a process opens file descriptors.
 enum class DescriptorUse : std::uint8_t {
     Files, ///< journal, snapshots, logs
-    Peers, ///< connections with other instances, either way
-    Callers, ///< connections that the listeners accept
+    Peers, ///< connections to and from other instances
+    Callers, ///< connections accepted by the HTTP listeners
     Targets, ///< connections to targets
     Admissions, ///< connections to the admission service
-    Spare, ///< event queues, timers, and what nobody thought of
+    Spare, ///< event queues, timers and everything else
 };
 
 inline constexpr EnumNames<DescriptorUse, 6> descriptorUseNames{{
@@ -29,28 +29,29 @@
     {DescriptorUse::Spare, "spare"},
 }};
 
-/// How much of a process's descriptors one use gets.
+/// The part of a process's file descriptors that is reserved for one use.
 struct DescriptorShare
 {
     DescriptorUse use = DescriptorUse::Spare;
-    std::size_t least = 0; ///< descriptors without which the use does not work
-    std::size_t weight = 0; ///< part of what is left after all the least numbers
+    std::size_t minimum = 0; ///< the use does not work with fewer
+    std::size_t weight = 0; ///< share of what remains after all minimums
 };
 
-/// Descriptors divided among their uses, so that none can take what another needs.
+/// Divides the file descriptors of a process among their uses, so that no use can exhaust what
+/// another one needs.
 ///
-/// Guards against a journal that cannot open its next file because connections have taken every
-/// descriptor, which ends the replica.
+/// Without it, connections could take every descriptor; the journal then fails to open its next
+/// file, which terminates the replica.
 class DescriptorBudget
 {
 public:
     /// Divides \a limit descriptors.
-    /// \errors InvalidArgument if the limit is below the sum of the least numbers; the message says
-    /// how many are needed.
+    /// \errors InvalidArgument if the limit is below the sum of the minimums; the message says how
+    /// many are needed.
     static Result<DescriptorBudget> divide(std::size_t limit,
                                            const std::vector<DescriptorShare> &shares);
 
-    /// 0 for a use that has no share.
+    /// The number of descriptors for \a use; 0 if it has no share.
     std::size_t of(DescriptorUse use) const { return this->parts[static_cast<std::size_t>(use)]; }
 
 private:
--- a/src/runtime/httpclient.h
+++ b/src/runtime/httpclient.h
@@ -17,33 +17,34 @@
 
 struct HttpClientOptions
 {
-    /// Connections to one peer for calls with a prompt answer; further calls wait in line.
+    /// Connections to one peer for ordinary calls, which are answered at once; further calls are
+    /// queued.
     std::size_t maxPerPeer = 4;
-    /// Connections to one peer for long polls: one, and one for a peer that was restarted while the
-    /// answer of its predecessor is still awaited.
+    /// Connections to one peer for long polls: one, and a second for a peer that was restarted
+    /// while the long poll to its previous incarnation is still open.
     std::size_t maxLongPollsPerPeer = 2;
-    /// Connections to all peers together. At this number the one that has been idle longest makes
-    /// room for a peer without any.
+    /// Connections to all peers together. When the limit is reached, the connection that has been
+    /// idle longest is closed for a peer that has none.
     std::size_t maxConnections = 1024;
-    std::size_t maxWaitingPerPeer = 256; ///< calls in line; further ones fail at once
+    std::size_t maxWaitingPerPeer = 256; ///< queued calls; further ones fail at once
     std::size_t maxResponseBytes = 8U << 20U;
-    /// Bytes that the peer does not acknowledge for this long end the connection
-    /// (TCP_USER_TIMEOUT), and so does silence to keep-alive probes.
-    Milliseconds unacknowledgedLimit{2000};
+    /// A connection is closed when the peer does not acknowledge sent bytes for this long
+    /// (TCP_USER_TIMEOUT) or does not answer keep-alive probes.
+    Milliseconds tcpUserTimeout{2000};
 };
 
-/// How a client's connections are used at the moment, and what it has counted so far.
+/// The current state of a client's connections, and its totals since it was created.
 struct HttpClientStatistics
 {
     std::size_t open = 0; ///< connections, in use or idle
-    std::size_t waiting = 0; ///< calls in line
-    std::uint64_t opened = 0;
+    std::size_t waiting = 0; ///< queued calls
+    std::uint64_t opened = 0; ///< connections opened
     std::uint64_t evicted = 0; ///< idle connections closed to make room for another peer
-    std::uint64_t refused = 0; ///< calls that failed because the line was full
+    std::uint64_t refused = 0; ///< calls that failed because the queue was full
 };
 
-/// Calls HTTP servers over a bounded number of connections that are kept open. Runs on a loop;
-/// calls come from it.
+/// An HTTP client with a bounded number of persistent connections. It runs on an IoLoop, and
+/// call() must be called on that loop.
 class HttpClient
 {
 public:
@@ -53,12 +54,12 @@
         std::string target; ///< path and query, encoded
         HttpHeaders headers;
         std::string body;
-        /// Calls in line for a connection leave in this order, lowest first.
+        /// Queued calls are sent in this order; 0 is the most urgent.
         std::uint32_t urgency = 0;
-        /// A call that is still in line then fails, as it does at its deadline.
+        /// A call that is still queued at this time fails, as it does at its deadline.
         Instant leaveBy = Instant::max();
-        /// The answer may be held back on purpose: the call has connections of its own, so that no
-        /// other waits behind it.
+        /// The server may delay the response on purpose: long polls use separate connections, so
+        /// that no other call waits behind one.
         bool isLongPoll = false;
     };
 
@@ -68,14 +69,17 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     /// Sends \a call to \a address ("ip:port"); \a done runs on the loop.
-    /// \errors Ran::No while nothing was written: LimitExceeded if this side has no connection to
-    /// spare, Unavailable or DeadlineExceeded if none came about. Ran::Unknown afterwards:
-    /// Unavailable if the connection broke, DeadlineExceeded. Nothing is sent twice. After a
-    /// deadline all idle connections to the peer go: what silenced one may have silenced its
-    /// siblings, and they would take the next call with them.
+    /// \errors Ran::No if nothing was sent: LimitExceeded if the client has no free connection,
+    /// Unavailable or DeadlineExceeded if no connection could be established. Ran::Unknown once
+    /// something was sent: Unavailable if the connection broke, DeadlineExceeded if there was no
+    /// response in time.
+    ///
+    /// A call is never sent twice. When a call exceeds its deadline, all idle connections to the
+    /// peer are closed too: they may be dead for the same reason, and the next call would fail on
+    /// one of them.
     void call(const std::string &address, Call call, Instant deadline, Done<HttpResponse> done);
 
-    /// On the loop, or while it is stopped.
+    /// Must be called on the loop, or while the loop is stopped.
     const HttpClientStatistics &statistics() const;
 
 private:
--- a/src/runtime/httpclientconnection.cpp
+++ b/src/runtime/httpclientconnection.cpp
@@ -44,7 +44,7 @@
         this->request.set(http::field::content_type, "application/json");
     this->request.body() = std::move(call.body);
     this->request.prepare_payload();
-    this->awaitDeadline(deadline);
+    this->startDeadlineTimer(deadline);
     if (this->isConnected)
         this->write();
     else
@@ -58,16 +58,16 @@
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void HttpClientConnection::awaitDeadline(Instant deadline)
+void HttpClientConnection::startDeadlineTimer(Instant deadline)
 {
     this->overdueAt = deadline;
     this->timer.expires_after(untilDeadline(deadline));
     this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
-        // A wait that was over before its call was answered may be told only now, when the
-        // connection has its next call: that one has a deadline of its own.
+        // The handler of an expired timer may run after the response of its call has arrived and
+        // the connection carries the next call, which has a deadline of its own.
         if (error || !self->done || monotonicNow() < self->overdueAt)
             return;
-        self->fail(ErrorCode::DeadlineExceeded, "no answer by the deadline");
+        self->fail(ErrorCode::DeadlineExceeded, "no response by the deadline");
     });
 }
 
@@ -81,7 +81,8 @@
     char *end = nullptr;
     const unsigned long number = std::strtoul(port.c_str(), &end, 10);
     if (error || port.empty() || *end != '\0' || number > UINT16_MAX) {
-        this->fail(ErrorCode::InvalidArgument, "not an address: " + this->address);
+        this->fail(ErrorCode::InvalidArgument,
+                   "not an address of the form ip:port: " + this->address);
         return;
     }
     this->socket.async_connect({ip, static_cast<std::uint16_t>(number)},
@@ -95,21 +96,22 @@
     if (!this->done)
         return;
     if (error) {
-        const bool isShortage = error == asio::error::no_descriptors;
-        this->fail(isShortage ? ErrorCode::LimitExceeded : ErrorCode::Unavailable,
+        const bool isOutOfDescriptors = error == asio::error::no_descriptors;
+        this->fail(isOutOfDescriptors ? ErrorCode::LimitExceeded : ErrorCode::Unavailable,
                    "cannot connect: " + error.message());
         return;
     }
     this->isConnected = true;
-    this->protectFromSilence();
+    this->enableDeadPeerDetection();
     this->write();
 }
 
-/// Guards against a connection that goes silent without a reset, which shows as every call on it
-/// waiting for its deadline: unacknowledged bytes and unanswered probes end it.
-void HttpClientConnection::protectFromSilence()
+/// Closes a connection whose peer is gone without a reset: bytes that are not acknowledged and
+/// keep-alive probes that are not answered end it. Otherwise every call on it would wait until its
+/// deadline.
+void HttpClientConnection::enableDeadPeerDetection()
 {
-    const auto limit = static_cast<unsigned>(this->options.unacknowledgedLimit.count());
+    const auto limit = static_cast<unsigned>(this->options.tcpUserTimeout.count());
     const int handle = this->socket.native_handle();
     const int probeSeconds = 1;
     const int probes = 3;
@@ -122,8 +124,8 @@
     setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
-/// Goes on with \a next, or ends the call if the connection broke.
-auto HttpClientConnection::whenSettled(void (HttpClientConnection::*next)())
+/// Returns a completion handler that calls \a next, or fails the call if the connection broke.
+auto HttpClientConnection::continueWith(void (HttpClientConnection::*next)())
 {
     return [self = this->shared_from_this(), next](boost::system::error_code error, std::size_t) {
         if (!self->done)
@@ -138,7 +140,7 @@
 void HttpClientConnection::write()
 {
     this->isSent = true;
-    http::async_write(this->socket, this->request, this->whenSettled(&HttpClientConnection::read));
+    http::async_write(this->socket, this->request, this->continueWith(&HttpClientConnection::read));
 }
 
 void HttpClientConnection::read()
@@ -146,7 +148,7 @@
     this->parser.emplace();
     this->parser->body_limit(this->options.maxResponseBytes);
     http::async_read(this->socket, this->buffer, *this->parser,
-                     this->whenSettled(&HttpClientConnection::succeed));
+                     this->continueWith(&HttpClientConnection::succeed));
 }
 
 void HttpClientConnection::succeed()
@@ -162,14 +164,14 @@
     response.body = std::move(message.body());
     this->timer.cancel();
     this->isSent = false;
-    const Done<HttpResponse> answered = std::exchange(this->done, nullptr);
+    const Done<HttpResponse> callback = std::exchange(this->done, nullptr);
     if (message.keep_alive()) {
-        this->owner->settled(this->shared_from_this());
+        this->owner->completed(this->shared_from_this());
     } else {
         this->close();
         this->owner->closed(this->shared_from_this(), false);
     }
-    answered(std::move(response));
+    callback(std::move(response));
 }
 
 void HttpClientConnection::fail(ErrorCode code, const std::string &message)
@@ -178,9 +180,9 @@
     error.ran = this->isSent ? Ran::Unknown : Ran::No;
     this->timer.cancel();
     this->close();
-    const Done<HttpResponse> answered = std::exchange(this->done, nullptr);
+    const Done<HttpResponse> callback = std::exchange(this->done, nullptr);
     this->owner->closed(this->shared_from_this(), code == ErrorCode::DeadlineExceeded);
-    answered(std::move(error));
+    callback(std::move(error));
 }
 
 void HttpClientConnection::close()
--- a/src/runtime/httpclientconnection.h
+++ b/src/runtime/httpclientconnection.h
@@ -18,19 +18,20 @@
 
 class HttpClientConnection;
 
-/// What a connection tells the pool that opened it.
+/// The events that a connection reports to the pool that opened it.
 class HttpClientConnectionOwner
 {
 public:
     virtual ~HttpClientConnectionOwner() = default;
 
-    /// The answer of its call has arrived; the connection may carry another one.
-    virtual void settled(const std::shared_ptr<HttpClientConnection> &connection) = 0;
-    /// It is closed. \a isSilent: its call had no answer by the deadline.
-    virtual void closed(const std::shared_ptr<HttpClientConnection> &connection, bool isSilent) = 0;
+    /// The response to the current call has arrived; the connection can be reused.
+    virtual void completed(const std::shared_ptr<HttpClientConnection> &connection) = 0;
+    /// The connection was closed. \a hasTimedOut: its call had no response by the deadline.
+    virtual void closed(const std::shared_ptr<HttpClientConnection> &connection,
+                        bool hasTimedOut) = 0;
 };
 
-/// One connection to a peer and the call that is on it.
+/// One connection to a peer; it carries one call at a time.
 class HttpClientConnection : public std::enable_shared_from_this<HttpClientConnection>
 {
 public:
@@ -41,24 +42,24 @@
                          bool isForLongPolls);
 
     void start(HttpClient::Call call, Instant deadline, Done<HttpResponse> whenDone);
-    /// Closes an idle connection without telling its owner.
+    /// Closes an idle connection without notifying its owner.
     void close();
 
-    /// False if the peer has closed an idle connection: a call on it would fail for nothing, and
-    /// nobody could tell whether it had arrived.
+    /// False if the peer has closed an idle connection: a call sent on it would fail without need,
+    /// and whether it had been received would be unknown.
     bool isAlive();
 
     const std::string &peer() const { return this->address; }
     bool isForLongPolls() const { return this->forLongPolls; }
 
-    IdleList::iterator idlePlace; ///< the owner's, while the connection is idle
+    IdleList::iterator idlePosition; ///< in the owner's list, while the connection is idle
 
 private:
-    void awaitDeadline(Instant deadline);
+    void startDeadlineTimer(Instant deadline);
     void connect();
     void onConnect(boost::system::error_code error);
-    void protectFromSilence();
-    auto whenSettled(void (HttpClientConnection::*next)());
+    void enableDeadPeerDetection();
+    auto continueWith(void (HttpClientConnection::*next)());
     void write();
     void read();
     void succeed();
--- a/src/runtime/httpclientpool.cpp
+++ b/src/runtime/httpclientpool.cpp
@@ -14,86 +14,87 @@
     , options(options)
 {}
 
-HttpClientPool::Lane &HttpClientPool::lane(const LaneAddress &address)
+HttpClientPool::Lane &HttpClientPool::lane(const LaneKey &key)
 {
-    return this->peers[address.peer][address.isForLongPolls ? 1 : 0];
+    return this->peers[key.peer][key.isForLongPolls ? 1 : 0];
 }
 
-std::size_t HttpClientPool::maxOpen(const LaneAddress &address) const
+std::size_t HttpClientPool::maxOpen(const LaneKey &key) const
 {
-    return address.isForLongPolls ? this->options.maxLongPollsPerPeer : this->options.maxPerPeer;
+    return key.isForLongPolls ? this->options.maxLongPollsPerPeer : this->options.maxPerPeer;
 }
 
 void HttpClientPool::call(const std::string &address, HttpClient::Call call, Instant deadline,
                           Done<HttpResponse> done)
 {
-    const LaneAddress where{address, call.isLongPoll};
-    Lane &lane = this->lane(where);
+    const LaneKey key{address, call.isLongPoll};
+    Lane &lane = this->lane(key);
     std::shared_ptr<HttpClientConnection> connection = this->takeIdle(lane);
-    if (!connection && lane.open < this->maxOpen(where) && this->makeRoom())
-        connection = this->open(where, lane);
+    if (!connection && lane.open < this->maxOpen(key) && this->makeRoom())
+        connection = this->open(key, lane);
     if (connection)
         connection->start(std::move(call), deadline, std::move(done));
     else
-        this->wait(where, lane, std::move(call), deadline, std::move(done));
+        this->wait(key, lane, std::move(call), deadline, std::move(done));
 }
 
-/// The idle connection that was used last and that its peer has not closed.
+/// Returns the most recently used idle connection that the peer has not closed, or null.
 std::shared_ptr<HttpClientConnection> HttpClientPool::takeIdle(Lane &lane)
 {
     while (!lane.idle.empty()) {
         std::shared_ptr<HttpClientConnection> connection = lane.idle.back();
         lane.idle.pop_back();
-        this->idle.erase(connection->idlePlace);
+        this->idle.erase(connection->idlePosition);
         if (connection->isAlive())
             return connection;
         connection->close();
         --lane.open;
-        --this->counted.open;
+        --this->counters.open;
     }
     return nullptr;
 }
 
-std::shared_ptr<HttpClientConnection> HttpClientPool::open(const LaneAddress &address, Lane &lane)
+std::shared_ptr<HttpClientConnection> HttpClientPool::open(const LaneKey &key, Lane &lane)
 {
     ++lane.open;
-    ++this->counted.open;
-    ++this->counted.opened;
-    return std::make_shared<HttpClientConnection>(
-        this->shared_from_this(), this->options, *this->loop, address.peer, address.isForLongPolls);
+    ++this->counters.open;
+    ++this->counters.opened;
+    return std::make_shared<HttpClientConnection>(this->shared_from_this(), this->options,
+                                                  *this->loop, key.peer, key.isForLongPolls);
 }
 
-/// True if one more connection may be opened, for which the longest idle one may have to go.
+/// True if another connection may be opened. At the limit, closes the one that has been idle
+/// longest.
 bool HttpClientPool::makeRoom()
 {
-    if (this->counted.open < this->options.maxConnections)
+    if (this->counters.open < this->options.maxConnections)
         return true;
     if (this->idle.empty())
         return false;
-    ++this->counted.evicted;
-    this->forget(*this->idle.front());
+    ++this->counters.evicted;
+    this->closeIdle(*this->idle.front());
     return true;
 }
 
-/// Closes an idle connection.
-void HttpClientPool::forget(HttpClientConnection &connection)
+/// Closes an idle connection and removes it from its lane.
+void HttpClientPool::closeIdle(HttpClientConnection &connection)
 {
     Lane &lane = this->lane({connection.peer(), connection.isForLongPolls()});
     connection.close();
-    const auto place = connection.idlePlace;
+    const auto place = connection.idlePosition;
     lane.idle.erase(std::remove(lane.idle.begin(), lane.idle.end(), *place), lane.idle.end());
-    this->idle.erase(place); // the last to hold it
+    this->idle.erase(place); // releases the last reference
     --lane.open;
-    --this->counted.open;
+    --this->counters.open;
 }
 
-void HttpClientPool::wait(const LaneAddress &address, Lane &lane, HttpClient::Call call,
-                          Instant deadline, Done<HttpResponse> done)
+void HttpClientPool::wait(const LaneKey &key, Lane &lane, HttpClient::Call call, Instant deadline,
+                          Done<HttpResponse> done)
 {
-    if (lane.line.size() >= this->options.maxWaitingPerPeer) {
-        ++this->counted.refused;
-        this->loop->post([done = std::move(done), peer = address.peer] {
-            done(failure(ErrorCode::LimitExceeded, peer + ": too many calls wait in line"));
+    if (lane.queue.size() >= this->options.maxWaitingPerPeer) {
+        ++this->counters.refused;
+        this->loop->post([done = std::move(done), peer = key.peer] {
+            done(failure(ErrorCode::LimitExceeded, peer + ": too many queued calls"));
         });
         return;
     }
@@ -103,103 +104,103 @@
     waiting->timer = std::make_unique<boost::asio::steady_timer>(
         this->loop->context(), untilDeadline(std::min(deadline, call.leaveBy)));
     waiting->timer->async_wait(
-        [weak = this->weak_from_this(), address, waiting](boost::system::error_code error) {
+        [weak = this->weak_from_this(), key, waiting](boost::system::error_code error) {
             const auto self = weak.lock();
             if (!error && self)
-                self->overdue(address, waiting);
+                self->expireWaiting(key, waiting);
         });
     const std::uint32_t urgency = call.urgency;
     waiting->call = std::move(call);
-    lane.line.emplace(urgency, waiting);
-    ++this->counted.waiting;
+    lane.queue.emplace(urgency, waiting);
+    ++this->counters.waiting;
     if (lane.open == 0 && !std::exchange(lane.isStarved, true))
-        this->starved.push_back(address);
+        this->starved.push_back(key);
 }
 
-/// A call whose turn has not come by its deadline. Nothing of it was sent.
-void HttpClientPool::overdue(const LaneAddress &address,
-                             const std::shared_ptr<WaitingCall> &waiting)
+/// Fails a call that is still queued at its deadline. Nothing of it was sent.
+void HttpClientPool::expireWaiting(const LaneKey &key, const std::shared_ptr<WaitingCall> &waiting)
 {
-    Line &line = this->lane(address).line;
-    const auto [first, last] = line.equal_range(waiting->call.urgency);
+    CallQueue &queue = this->lane(key).queue;
+    const auto [first, last] = queue.equal_range(waiting->call.urgency);
     const auto found =
         std::find_if(first, last, [&](const auto &one) { return one.second == waiting; });
     if (found == last)
-        return; // it went out meanwhile
-    line.erase(found);
-    --this->counted.waiting;
+        return; // already sent
+    queue.erase(found);
+    --this->counters.waiting;
     waiting->done(failure(ErrorCode::LimitExceeded,
-                          address.peer + ": no connection came free by the deadline"));
+                          key.peer + ": no connection became available by the deadline"));
 }
 
 void HttpClientPool::startNext(Lane &lane, const std::shared_ptr<HttpClientConnection> &connection)
 {
-    const std::shared_ptr<WaitingCall> next = lane.line.begin()->second;
-    lane.line.erase(lane.line.begin());
-    --this->counted.waiting;
+    const std::shared_ptr<WaitingCall> next = lane.queue.begin()->second;
+    lane.queue.erase(lane.queue.begin());
+    --this->counters.waiting;
     next->timer->cancel();
     connection->start(std::move(next->call), next->overdueAt, std::move(next->done));
 }
 
-void HttpClientPool::settled(const std::shared_ptr<HttpClientConnection> &connection)
+void HttpClientPool::completed(const std::shared_ptr<HttpClientConnection> &connection)
 {
     Lane &lane = this->lane({connection->peer(), connection->isForLongPolls()});
-    if (!lane.line.empty()) {
+    if (!lane.queue.empty()) {
         this->startNext(lane, connection);
         return;
     }
     lane.idle.push_back(connection);
-    connection->idlePlace = this->idle.insert(this->idle.end(), connection);
+    connection->idlePosition = this->idle.insert(this->idle.end(), connection);
     this->serveStarved();
 }
 
-void HttpClientPool::closed(const std::shared_ptr<HttpClientConnection> &connection, bool isSilent)
+void HttpClientPool::closed(const std::shared_ptr<HttpClientConnection> &connection,
+                            bool hasTimedOut)
 {
-    const LaneAddress address{connection->peer(), connection->isForLongPolls()};
-    Lane &lane = this->lane(address);
+    const LaneKey key{connection->peer(), connection->isForLongPolls()};
+    Lane &lane = this->lane(key);
     --lane.open;
-    --this->counted.open;
-    if (isSilent)
-        this->dropIdle(address.peer);
-    if (!lane.line.empty() && !lane.isStarved && this->makeRoom())
-        this->startNext(lane, this->open(address, lane));
+    --this->counters.open;
+    if (hasTimedOut)
+        this->closeAllIdle(key.peer);
+    if (!lane.queue.empty() && !lane.isStarved && this->makeRoom())
+        this->startNext(lane, this->open(key, lane));
     else
         this->serveStarved();
-    this->forgetUnused(address.peer);
+    this->eraseIfUnused(key.peer);
 }
 
-void HttpClientPool::forgetUnused(const std::string &peer)
+void HttpClientPool::eraseIfUnused(const std::string &peer)
 {
     const auto found = this->peers.find(peer);
     const auto isUnused = [](const Lane &lane) {
-        return lane.open == 0 && lane.line.empty() && !lane.isStarved;
+        return lane.open == 0 && lane.queue.empty() && !lane.isStarved;
     };
     if (found != this->peers.end()
         && std::all_of(found->second.begin(), found->second.end(), isUnused))
         this->peers.erase(found);
 }
 
-/// Opens connections for lanes that have none, while there is room for them.
+/// Opens connections for starved lanes while the limit allows it.
 void HttpClientPool::serveStarved()
 {
     while (!this->starved.empty()) {
-        const LaneAddress address = this->starved.front();
-        Lane &lane = this->lane(address);
-        const bool isServed = lane.line.empty() || lane.open > 0;
+        const LaneKey key = this->starved.front();
+        Lane &lane = this->lane(key);
+        const bool isServed = lane.queue.empty() || lane.open > 0;
         if (!isServed && !this->makeRoom())
             return;
         this->starved.pop_front();
         lane.isStarved = false;
         if (!isServed)
-            this->startNext(lane, this->open(address, lane));
+            this->startNext(lane, this->open(key, lane));
     }
 }
 
-void HttpClientPool::dropIdle(const std::string &peer)
+void HttpClientPool::closeAllIdle(const std::string &peer)
 {
     for (Lane &lane : this->peers[peer]) {
         while (!lane.idle.empty())
-            this->forget(*lane.idle.back());
+            this->closeIdle(*lane.idle.back());
     }
 }
 
@@ -208,10 +209,10 @@
     for (auto &[address, peer] : this->peers) {
         for (Lane &lane : peer) {
             lane.idle.clear();
-            lane.line.clear();
+            lane.queue.clear();
         }
     }
-    this->idle.clear(); // each of them holds the pool
+    this->idle.clear(); // each connection holds a reference to the pool
 }
 
 } // namespace guavavalve::internal
--- a/src/runtime/httpclientpool.h
+++ b/src/runtime/httpclientpool.h
@@ -14,11 +14,12 @@
 
 namespace guavavalve::internal {
 
-/// The connections of an HttpClient: which call goes out on which of them, and which wait.
+/// The connections of an HttpClient. Assigns each call to a connection, or queues it.
 ///
-/// Each peer has two lanes, one for long polls and one for all other calls. A call takes an idle
-/// connection of its lane, or opens one, or waits in the lane's line. A lane without a connection
-/// is starved while the client has as many as it may: it gets the next one that comes free.
+/// Each peer has two lanes, one for long polls and one for all other calls. A call uses an idle
+/// connection of its lane, opens a new one, or waits in the lane's queue. A lane that has queued
+/// calls and no connection, because the client is at its connection limit, is starved: it gets the
+/// next connection that becomes available.
 class HttpClientPool : public HttpClientConnectionOwner,
                        public std::enable_shared_from_this<HttpClientPool>
 {
@@ -27,13 +28,13 @@
 
     void call(const std::string &address, HttpClient::Call call, Instant deadline,
               Done<HttpResponse> done);
-    /// Lets go of everything that is idle or waits; the client is gone.
+    /// Drops all idle connections and queued calls. Called when the client is destroyed.
     void clear();
 
-    const HttpClientStatistics &statistics() const { return this->counted; }
+    const HttpClientStatistics &statistics() const { return this->counters; }
 
-    void settled(const std::shared_ptr<HttpClientConnection> &connection) override;
-    void closed(const std::shared_ptr<HttpClientConnection> &connection, bool isSilent) override;
+    void completed(const std::shared_ptr<HttpClientConnection> &connection) override;
+    void closed(const std::shared_ptr<HttpClientConnection> &connection, bool hasTimedOut) override;
 
 private:
     struct WaitingCall
@@ -43,42 +44,42 @@
         Done<HttpResponse> done;
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
-    using Line = std::multimap<std::uint32_t, std::shared_ptr<WaitingCall>>; ///< by urgency
+    using CallQueue = std::multimap<std::uint32_t, std::shared_ptr<WaitingCall>>; ///< by urgency
 
     struct Lane
     {
         std::vector<std::shared_ptr<HttpClientConnection>> idle;
         std::size_t open = 0; ///< connections, in use or idle
-        bool isStarved = false; ///< it stands in the list of starved lanes
-        Line line;
+        bool isStarved = false; ///< the lane is in the list of starved lanes
+        CallQueue queue;
     };
     using Peer = std::array<Lane, 2>;
-    struct LaneAddress
+    struct LaneKey
     {
         std::string peer;
         bool isForLongPolls = false;
     };
 
-    Lane &lane(const LaneAddress &address);
-    std::size_t maxOpen(const LaneAddress &address) const;
+    Lane &lane(const LaneKey &key);
+    std::size_t maxOpen(const LaneKey &key) const;
     std::shared_ptr<HttpClientConnection> takeIdle(Lane &lane);
-    std::shared_ptr<HttpClientConnection> open(const LaneAddress &address, Lane &lane);
+    std::shared_ptr<HttpClientConnection> open(const LaneKey &key, Lane &lane);
     bool makeRoom();
-    void wait(const LaneAddress &address, Lane &lane, HttpClient::Call call, Instant deadline,
+    void wait(const LaneKey &key, Lane &lane, HttpClient::Call call, Instant deadline,
               Done<HttpResponse> done);
-    void overdue(const LaneAddress &address, const std::shared_ptr<WaitingCall> &waiting);
+    void expireWaiting(const LaneKey &key, const std::shared_ptr<WaitingCall> &waiting);
     void startNext(Lane &lane, const std::shared_ptr<HttpClientConnection> &connection);
     void serveStarved();
-    void forget(HttpClientConnection &connection);
-    void dropIdle(const std::string &peer);
-    void forgetUnused(const std::string &peer);
+    void closeIdle(HttpClientConnection &connection);
+    void closeAllIdle(const std::string &peer);
+    void eraseIfUnused(const std::string &peer);
 
     std::shared_ptr<IoLoop> loop;
     HttpClientOptions options;
     std::unordered_map<std::string, Peer> peers;
-    HttpClientConnection::IdleList idle; ///< of all lanes, the longest idle first
-    std::deque<LaneAddress> starved;
-    HttpClientStatistics counted;
+    HttpClientConnection::IdleList idle; ///< of all lanes; the longest idle first
+    std::deque<LaneKey> starved;
+    HttpClientStatistics counters;
 };
 
 } // namespace guavavalve::internal
--- a/src/runtime/httpconnection.cpp
+++ b/src/runtime/httpconnection.cpp
@@ -29,7 +29,7 @@
     return -1;
 }
 
-/// Decodes the percent escapes of a URI's part (RFC 3986, section 2.1); false if one is broken.
+/// Decodes percent-encoding in a URI component (RFC 3986, section 2.1); false if it is malformed.
 bool decodeEscapes(std::string_view encoded, std::string &decoded)
 {
     decoded.clear();
@@ -56,9 +56,9 @@
         const std::size_t equals = pair.find('=');
         std::string name;
         std::string value;
-        const bool isWhole = decodeEscapes(pair.substr(0, equals), name)
+        const bool isValid = decodeEscapes(pair.substr(0, equals), name)
             && (equals == std::string_view::npos || decodeEscapes(pair.substr(equals + 1), value));
-        if (!isWhole)
+        if (!isValid)
             return false;
         decoded[name] = value;
     }
@@ -78,8 +78,8 @@
     return response;
 }
 
-/// The reply that a handler holds. A handler that lost it must not leave the caller and the
-/// shutdown waiting, so the last copy answers for it.
+/// The reply that is passed to a handler. If the handler drops it without a call, neither the
+/// caller nor a shutdown may wait for ever, so the destructor of the last copy sends an error.
 class HttpConnection::Reply
 {
 public:
@@ -87,7 +87,10 @@
         : connection(std::move(connection))
         , loop(std::move(loop))
     {}
-    ~Reply() { this->send(httpRefusal(500, "internal", "the request was dropped")); }
+    ~Reply()
+    {
+        this->send(httpRefusal(500, "internal", "the request was dropped without a response"));
+    }
     Reply(const Reply &) = delete;
     Reply &operator=(const Reply &) = delete;
 
@@ -135,7 +138,7 @@
     this->parser->body_limit(this->owner->options.maxBodyBytes);
     const bool hasBytes = this->buffer.size() > 0;
     const HttpServerOptions &options = this->owner->options;
-    this->overdueAt = monotonicNow() + (hasBytes ? options.transferLimit : options.idleLimit);
+    this->overdueAt = monotonicNow() + (hasBytes ? options.transferTimeout : options.idleTimeout);
     http::async_read_header(
         this->socket, this->buffer, *this->parser,
         [self = this->shared_from_this()](boost::system::error_code error, std::size_t) {
@@ -148,14 +151,14 @@
     if (!this->isOpen)
         return;
     if (error) {
-        this->refuseBroken(error);
+        this->handleReadError(error);
         return;
     }
     if (this->parser->is_done()) {
         this->onRequest({});
         return;
     }
-    this->overdueAt = monotonicNow() + this->owner->options.transferLimit;
+    this->overdueAt = monotonicNow() + this->owner->options.transferTimeout;
     auto onRead = [self = this->shared_from_this()](boost::system::error_code failed, std::size_t) {
         self->onRequest(failed);
     };
@@ -163,16 +166,17 @@
         http::async_read(this->socket, this->buffer, *this->parser, std::move(onRead));
         return;
     }
-    // The caller waits for this word before it sends its body (RFC 9110, section 10.1.1).
-    auto go = std::make_shared<http::response<http::empty_body>>(http::status::continue_, 11);
-    http::async_write(this->socket, *go,
-                      [self = this->shared_from_this(), go, onRead = std::move(onRead)](
-                          boost::system::error_code failed, std::size_t) mutable {
-                          if (failed)
-                              return self->close();
-                          http::async_read(self->socket, self->buffer, *self->parser,
-                                           std::move(onRead));
-                      });
+    // The caller waits for this response before it sends its body (RFC 9110, section 10.1.1).
+    auto continueResponse =
+        std::make_shared<http::response<http::empty_body>>(http::status::continue_, 11);
+    http::async_write(
+        this->socket, *continueResponse,
+        [self = this->shared_from_this(), continueResponse,
+         onRead = std::move(onRead)](boost::system::error_code failed, std::size_t) mutable {
+            if (failed)
+                return self->close();
+            http::async_read(self->socket, self->buffer, *self->parser, std::move(onRead));
+        });
 }
 
 void HttpConnection::onRequest(boost::system::error_code error)
@@ -180,53 +184,53 @@
     if (!this->isOpen)
         return;
     if (error) {
-        this->refuseBroken(error);
+        this->handleReadError(error);
         return;
     }
-    this->overdueAt = Instant::max(); // the handler's time is its own affair
+    this->overdueAt = Instant::max(); // handlers have no time limit here
     HttpResponse refused;
-    this->isCounted = this->owner->admit(this->peer, refused);
-    if (!this->isCounted) {
+    this->isAdmitted = this->owner->admit(this->peer, refused);
+    if (!this->isAdmitted) {
         this->answer(std::move(refused));
         return;
     }
     HttpRequest request;
     if (!this->parse(request)) {
-        this->answer(httpRefusal(400, "invalid-argument", "the request's URI is malformed"));
+        this->answer(httpRefusal(400, "invalid-argument", "the URI of the request is malformed"));
         return;
     }
-    auto held = std::make_shared<Reply>(this->shared_from_this(), this->loop);
-    auto reply = [held](HttpResponse response) { held->send(std::move(response)); };
+    auto pending = std::make_shared<Reply>(this->shared_from_this(), this->loop);
+    auto reply = [pending](HttpResponse response) { pending->send(std::move(response)); };
     try {
         this->owner->serve(std::move(request), reply);
     } catch (const std::exception &) {
-        held->send(httpRefusal(500, "internal", "the request could not be handled"));
+        pending->send(httpRefusal(500, "internal", "the request could not be handled"));
     }
 }
 
 bool HttpConnection::parse(HttpRequest &request) const
 {
-    const auto &got = this->parser->get();
-    const std::string_view target(got.target().data(), got.target().size());
+    const auto &parsed = this->parser->get();
+    const std::string_view target(parsed.target().data(), parsed.target().size());
     const std::size_t question = target.find('?');
     if (!decodeEscapes(target.substr(0, question), request.path))
         return false;
     if (question != std::string_view::npos
         && !decodeQuery(target.substr(question + 1), request.query))
         return false;
-    request.method.assign(got.method_string().data(), got.method_string().size());
-    for (const auto &field : got) {
+    request.method.assign(parsed.method_string().data(), parsed.method_string().size());
+    for (const auto &field : parsed) {
         request.headers.emplace(std::string(field.name_string().data(), field.name_string().size()),
                                 std::string(field.value().data(), field.value().size()));
     }
-    request.body = got.body();
+    request.body = parsed.body();
     request.remoteAddress = this->peer;
     return true;
 }
 
-/// A request that breaks a bound or the protocol is answered and its connection closed; one that
-/// broke off has nobody left to be answered.
-void HttpConnection::refuseBroken(boost::system::error_code error)
+/// Sends an error response if the request exceeds a limit or is not valid HTTP, and closes the
+/// connection after it. If the peer has closed the connection, no one is left to receive one.
+void HttpConnection::handleReadError(boost::system::error_code error)
 {
     const HttpServerOptions &options = this->owner->options;
     if (error == http::error::body_limit) {
@@ -239,7 +243,7 @@
                                      + " bytes"));
     } else if (error.category() == http::make_error_code(http::error::bad_method).category()
                && error != http::error::end_of_stream && error != http::error::partial_message) {
-        this->answer(httpRefusal(400, "invalid-argument", "this is not an HTTP request"));
+        this->answer(httpRefusal(400, "invalid-argument", "not a valid HTTP request"));
     } else {
         this->close();
         return;
@@ -250,21 +254,21 @@
 void HttpConnection::answer(HttpResponse response)
 {
     if (!this->isOpen) {
-        if (std::exchange(this->isCounted, false))
+        if (std::exchange(this->isAdmitted, false))
             this->owner->finished(this->peer);
         return;
     }
-    const bool wasRead = this->parser->is_done();
+    const bool isFullyRead = this->parser->is_done();
     this->message = {};
     this->message.version(11);
     this->message.result(static_cast<unsigned>(response.status));
     for (const auto &[name, value] : response.headers)
         this->message.set(name, value);
     this->message.set(http::field::content_type, response.contentType);
-    this->message.keep_alive(wasRead && this->parser->keep_alive() && !this->owner->closing);
+    this->message.keep_alive(isFullyRead && this->parser->keep_alive() && !this->owner->closing);
     this->message.body() = std::move(response.body);
     this->message.prepare_payload();
-    this->overdueAt = monotonicNow() + this->owner->options.transferLimit;
+    this->overdueAt = monotonicNow() + this->owner->options.transferTimeout;
     http::async_write(this->socket, this->message,
                       [self = this->shared_from_this()](boost::system::error_code error,
                                                         std::size_t) { self->onAnswered(error); });
@@ -272,7 +276,7 @@
 
 void HttpConnection::onAnswered(boost::system::error_code error)
 {
-    if (std::exchange(this->isCounted, false))
+    if (std::exchange(this->isAdmitted, false))
         this->owner->finished(this->peer);
     if (!this->isOpen)
         return;
@@ -281,25 +285,25 @@
     } else if (this->message.keep_alive()) {
         this->readHeader();
     } else {
-        this->discardRest();
+        this->discardInput();
     }
 }
 
-/// Reads what the caller still sends before the connection closes: closing with bytes unread
-/// resets it, and the reset can overtake the answer.
-void HttpConnection::discardRest()
+/// Reads and discards what the caller still sends before the connection is closed: closing a socket
+/// with unread bytes resets the connection, and the caller may see the reset before the response.
+void HttpConnection::discardInput()
 {
     boost::system::error_code ignored;
     this->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     this->socket.async_read_some(
-        asio::buffer(this->rest),
+        asio::buffer(this->discarded),
         [self = this->shared_from_this()](boost::system::error_code error, std::size_t) {
             if (!self->isOpen)
                 return;
             if (error)
                 self->close();
             else
-                self->discardRest();
+                self->discardInput();
         });
 }
 
--- a/src/runtime/httpconnection.h
+++ b/src/runtime/httpconnection.h
@@ -20,30 +20,32 @@
 
 class HttpConnection;
 
-/// A refusal of the server itself, in the form that all its errors have.
+/// A request refused by the server itself, not by a handler, with the same JSON body as all
+/// errors.
 HttpResponse httpRefusal(int status, std::string_view error, std::string_view message,
                          int retryAfterMs = 0);
 
-/// What a connection asks of the server that accepted it.
+/// The interface of the server that accepted a connection, as the connection uses it.
 class HttpConnectionOwner
 {
 public:
     virtual ~HttpConnectionOwner() = default;
 
-    /// Counts a request of \a peer in; false, with what to answer, if it is one too many.
+    /// Counts a request of \a peer as in flight. False if a limit is reached or the server is
+    /// shutting down; \a refused is then the response.
     virtual bool admit(const std::string &peer, HttpResponse &refused) = 0;
-    /// Counts an admitted request out.
+    /// Ends an admitted request, which is then no longer in flight.
     virtual void finished(const std::string &peer) = 0;
     virtual void serve(HttpRequest request, HttpReply reply) = 0;
     virtual void closed(const std::shared_ptr<HttpConnection> &connection) = 0;
 
     HttpServerOptions options;
     std::atomic<bool> accepting{true};
-    std::atomic<bool> closing{false}; ///< each answer ends its connection
+    std::atomic<bool> closing{false}; ///< each response closes its connection
 };
 
-/// One connection of a caller: reads a request, has it served, writes the answer, and again.
-/// Everything runs on the loop, but for the reply, which may come from any thread.
+/// One connection of a caller: reads a request, passes it to the server, writes the response, and
+/// repeats. Everything runs on the loop, except the reply, which may be called on any thread.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection>
 {
 public:
@@ -52,7 +54,8 @@
 
     void start();
     void close();
-    /// Guards against connections that stay for ever: a peer that is slow, idle or gone.
+    /// Closes the connection if its deadline has passed, so that a peer that is slow, idle or gone
+    /// cannot hold it for ever.
     void closeIfOverdue(Instant now);
 
 private:
@@ -64,21 +67,21 @@
     void onHeader(boost::system::error_code error);
     void onRequest(boost::system::error_code error);
     bool parse(HttpRequest &request) const;
-    void refuseBroken(boost::system::error_code error);
+    void handleReadError(boost::system::error_code error);
     void answer(HttpResponse response);
     void onAnswered(boost::system::error_code error);
-    void discardRest();
+    void discardInput();
 
     boost::asio::ip::tcp::socket socket;
     std::shared_ptr<HttpConnectionOwner> owner;
-    std::weak_ptr<IoLoop> loop; ///< a late reply may outlive its server
+    std::weak_ptr<IoLoop> loop; ///< weak: a late reply may outlive the server and its loop
     std::string peer;
     boost::beast::flat_buffer buffer;
     std::optional<Parser> parser;
     Message message;
-    std::array<char, 4096> rest{}; ///< of a request that was refused; nobody reads it
+    std::array<char, 4096> discarded{}; ///< input of a refused request, never used
     Instant overdueAt = Instant::max();
-    bool isCounted = false;
+    bool isAdmitted = false;
     bool isOpen = true;
 };
 
--- a/src/runtime/httperror.cpp
+++ b/src/runtime/httperror.cpp
@@ -30,7 +30,7 @@
     case ErrorCode::WriteRefused:
         return 503;
     case ErrorCode::DeadlineExceeded:
-        // Refused in time is the service's own matter; not finished in time is a gateway's.
+        // Not started in time: the service is unavailable. Not finished in time: gateway timeout.
         return error.ran == Ran::No ? 503 : 504;
     case ErrorCode::Corrupt:
     case ErrorCode::Internal:
@@ -57,7 +57,7 @@
                               {"message", error.message},
                               {"ran", enumName(ranNames, error.ran)},
                               {"retryAfterMs", retryAfterMs}};
-    // A message may quote bytes of the request that are no UTF-8.
+    // A message may quote bytes of the request that are not valid UTF-8.
     response.body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     setRetryAfter(response, retryAfterMs);
     return response;
--- a/src/runtime/httperror.h
+++ b/src/runtime/httperror.h
@@ -5,14 +5,15 @@
 
 namespace guavavalve {
 
-/// The HTTP status of a refusal or failure (RFC 9110, section 15).
+/// The HTTP status code for \a error (RFC 9110, section 15).
 int httpStatus(const Error &error);
 
-/// Tells the caller in \a response when to come back, in whole seconds (RFC 9110, section 10.2.3);
+/// Sets the Retry-After header, rounded up to whole seconds (RFC 9110, section 10.2.3). Does
 /// nothing if \a retryAfterMs is 0.
 void setRetryAfter(HttpResponse &response, std::int64_t retryAfterMs);
 
-/// \a error as a reply: its status, {error, message, ran, retryAfterMs}, and Retry-After.
+/// Converts \a error to a response with its status, a JSON body {error, message, ran,
+/// retryAfterMs} and, if there is a delay, Retry-After.
 HttpResponse errorResponse(const Error &error);
 
 } // namespace guavavalve
--- a/src/runtime/httpserver.cpp
+++ b/src/runtime/httpserver.cpp
@@ -22,11 +22,11 @@
 
 namespace {
 
-constexpr int retryAfterMs = 1000; // what a shutdown or a burst takes to pass
-/// How often connections are looked at for their deadlines: coarse, so that a request arms no
-/// timer of its own.
+constexpr int retryAfterMs = 1000; // by then a shutdown or a burst of requests is usually over
+/// Deadlines of connections are checked at this interval, so that requests need no timers of their
+/// own.
 constexpr Milliseconds sweepInterval{500};
-constexpr Milliseconds acceptPause{50}; ///< after a connection that could not be taken
+constexpr Milliseconds acceptRetryDelay{50}; ///< after a connection could not be accepted
 
 struct Route
 {
@@ -35,7 +35,7 @@
     HttpHandler handler;
 };
 
-bool covers(const std::string &prefix, const std::string &path)
+bool matchesPrefix(const std::string &prefix, const std::string &path)
 {
     if (path.compare(0, prefix.size(), prefix) != 0)
         return false;
@@ -96,7 +96,7 @@
 {
     const Route *best = nullptr;
     for (const Route &route : this->routes) {
-        if (!covers(route.prefix, path))
+        if (!matchesPrefix(route.prefix, path))
             continue;
         pathKnown = true;
         if (route.method != method && route.method != "*")
@@ -116,12 +116,12 @@
     }
     const std::lock_guard lock(this->mutex);
     if (this->inFlight >= this->options.maxInFlight) {
-        refused = httpRefusal(503, "limit-exceeded", "too many requests are open", retryAfterMs);
+        refused = httpRefusal(503, "limit-exceeded", "too many requests in flight", retryAfterMs);
         return false;
     }
     std::size_t &ofPeer = this->inFlightOfPeer[peer];
     if (ofPeer >= this->options.maxInFlightPerPeer) {
-        refused = httpRefusal(429, "limit-exceeded", "too many requests of this peer are open",
+        refused = httpRefusal(429, "limit-exceeded", "too many requests of this peer in flight",
                               retryAfterMs);
         return false;
     }
@@ -145,9 +145,9 @@
     bool pathKnown = false;
     const Route *route = this->find(request.method, request.path, pathKnown);
     if (route == nullptr) {
-        reply(pathKnown
-                  ? internal::httpRefusal(405, "invalid-argument", "no such method on this path")
-                  : internal::httpRefusal(404, "not-found", "no such path"));
+        reply(pathKnown ? internal::httpRefusal(405, "invalid-argument",
+                                                "method not allowed on this path")
+                        : internal::httpRefusal(404, "not-found", "no such path"));
         return;
     }
     route->handler(std::move(request), std::move(reply));
@@ -181,11 +181,12 @@
     this->acceptor->async_accept(std::move(handler));
 }
 
-/// Guards against a process without a descriptor left, which would take up a processor with trying:
-/// the connection that waits is offered again at once each time.
+/// Retries after a delay. When the process has no file descriptor left, the pending connection
+/// stays in the backlog and accept fails again at once; without the delay this loop would use a
+/// whole processor.
 void HttpServer::Private::acceptLater()
 {
-    this->loop->runAfter(acceptPause, [weak = this->weak_from_this()] {
+    this->loop->runAfter(acceptRetryDelay, [weak = this->weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->acceptor)
             self->accept();
@@ -227,8 +228,8 @@
     this->d->options = std::move(options);
 }
 
-/// The loop leaves the shared part before that goes: handlers that still wait in the loop hold
-/// the shared part, and the loop's thread must not be the one that ends the loop.
+/// Takes the loop out of Private before Private is released: handlers that are still queued on the
+/// loop hold references to Private, and the loop must not be destroyed on its own thread.
 HttpServer::~HttpServer()
 {
     this->close();
@@ -318,19 +319,20 @@
 {
     if (!this->d->acceptor)
         return;
-    if (this->d->loop->isStopped()) { // nothing runs there any more, and nothing would answer
+    if (this->d->loop->isStopped()) { // a posted action would never run
         this->d->closeAll();
         return;
     }
-    auto over = std::make_shared<std::promise<void>>();
-    auto done = over->get_future();
-    this->d->loop->post([d = this->d, over]() mutable {
+    auto closePromise = std::make_shared<std::promise<void>>();
+    auto done = closePromise->get_future();
+    this->d->loop->post([d = this->d, closePromise]() mutable {
         d->closeAll();
-        d.reset(); // before the other side goes on: its reference must be the last one
-        over->set_value();
+        d.reset(); // before close() returns, whose caller must hold the last reference
+        closePromise->set_value();
     });
-    constexpr std::chrono::seconds longEnough(5); // a loop that was stopped runs nothing more
-    done.wait_for(longEnough);
+    // The loop may be stopped before the action runs.
+    constexpr std::chrono::seconds closeTimeout(5);
+    done.wait_for(closeTimeout);
 }
 
 } // namespace guavavalve
--- a/src/runtime/httpserver.h
+++ b/src/runtime/httpserver.h
@@ -13,7 +13,7 @@
 
 namespace guavavalve {
 
-/// Orders header names without regard to case, as HTTP asks (RFC 9110, section 5.1).
+/// Case-insensitive order of header names (RFC 9110, section 5.1).
 struct HeaderNameLess
 {
     using is_transparent = void;
@@ -22,7 +22,7 @@
 
 using HttpHeaders = std::map<std::string, std::string, HeaderNameLess>;
 
-/// A request that has arrived whole.
+/// A request that was received completely.
 struct HttpRequest
 {
     std::string method; ///< "GET", "POST", "PUT", "DELETE"
@@ -48,31 +48,31 @@
 
 class IoLoop;
 
-/// Answers a request; called once, from any thread. Later calls do nothing.
+/// Sends the response to a request. May be called on any thread; calls after the first do nothing.
 using HttpReply = std::function<void(HttpResponse)>;
 
-/// Serves a request. It must not block: the reply may come later and from any thread.
+/// Serves a request. It must not block; it may call the reply later and on any thread.
 using HttpHandler = std::function<void(HttpRequest, HttpReply)>;
 
 struct HttpServerOptions
 {
     std::string address = "127.0.0.1"; ///< IP to listen on
-    std::uint16_t port = 0; ///< 0: a free one
+    std::uint16_t port = 0; ///< 0: any free port
     std::size_t maxBodyBytes = 8U << 20U; ///< larger bodies are refused with 413
     std::size_t maxInFlight = 4096; ///< further requests are refused with 503
-    std::size_t maxInFlightPerPeer = 1024; ///< of one IP; further ones are refused with 429
+    std::size_t maxInFlightPerPeer = 1024; ///< per IP; further ones are refused with 429
     std::size_t maxHeaderBytes = 32U << 10U; ///< larger headers are refused with 431
     std::size_t maxConnections = 8192; ///< further ones are closed at once
-    /// A request must have arrived whole within this time of its first byte's wait, and an answer
-    /// must have been taken by the peer within it: a slow peer may not hold a connection for ever.
-    Milliseconds transferLimit{30000};
-    Milliseconds idleLimit{60000}; ///< a connection without a request is closed after this
-    std::shared_ptr<IoLoop> loop; ///< empty: the server runs one of its own
+    /// Limits reading the rest of a request once part of it has been received, and separately
+    /// writing a response, so that a slow peer cannot hold a connection for ever.
+    Milliseconds transferTimeout{30000};
+    Milliseconds idleTimeout{60000}; ///< a connection without a request is closed after this time
+    std::shared_ptr<IoLoop> loop; ///< null: the server creates its own
 };
 
-/// One HTTP listener (Boost.Beast) with a route table, shared by the packages that speak HTTP.
+/// An HTTP server (Boost.Beast) with one listener and a route table.
 ///
-/// Requests on one connection are answered in their order. Handlers run on the server's loop.
+/// Requests on one connection are answered in order. Handlers run on the server's loop.
 class HttpServer
 {
 public:
@@ -81,36 +81,39 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /// Serves \a method on \a pathPrefix and all below it; the longest matching prefix wins, and
-    /// the method "*" stands for those that have no route of their own. Done before start().
+    /// Adds a handler for \a method on \a pathPrefix and all paths below it. The longest matching
+    /// prefix wins; the method "*" matches every method. Must be called before start().
     void route(const std::string &method, const std::string &pathPrefix, HttpHandler handler);
 
-    /// Opens the listener.
+    /// Starts to listen.
     /// \errors Unavailable if the address cannot be bound.
     Result<void> start();
 
-    /// The port that start() bound.
+    /// The port to which start() has bound the listener.
     std::uint16_t port() const;
 
-    /// Refuses requests that arrive from now on with 503, ran "no"; open ones are finished.
+    /// From now on refuses new requests with 503 and ran "no". Requests in flight are completed,
+    /// and each connection is closed with its next response.
     void stopAccepting();
 
-    /// Answers requests as before and closes each connection with its next answer: for a shutdown
-    /// while callers go on using their open connections.
+    /// Serves requests as before, but closes each connection with its next response: for a shutdown
+    /// during which callers still use their open connections.
     void disableKeepAlive();
 
-    /// Requests taken and not yet answered.
+    /// Requests admitted whose response is not yet written.
     std::size_t inFlight() const;
 
-    /// Connections that are open. On the loop, or while it is stopped.
+    /// Open connections. Must be called on the loop, or while the loop is stopped.
     std::size_t connections() const;
-    /// Connections closed at once because there were as many as may be. On the loop, as above.
+    /// Connections closed at once because maxConnections were open. Must be called on the loop, or
+    /// while the loop is stopped.
     std::uint64_t rejectedConnections() const;
 
-    /// Waits until inFlight() is zero; false if \a deadline passes first. Not on the loop.
+    /// Waits until inFlight() is zero; false if \a deadline passes first. Must not be called on the
+    /// loop.
     bool waitUntilIdle(Instant deadline);
 
-    /// Closes the listener and all connections. Not on the loop.
+    /// Closes the listener and all connections. Must not be called on the loop.
     void close();
 
 private:
--- a/src/runtime/httpthreads.cpp
+++ b/src/runtime/httpthreads.cpp
@@ -1,4 +1,4 @@
-// The library's header for its threads still uses a name that this macro takes out of Asio.
+// pplx/threadpool.h still uses a name that this macro removes from Asio.
 #undef BOOST_ASIO_NO_DEPRECATED
 
 #include "runtime/httpthreads.h"
@@ -14,7 +14,7 @@
     try {
         crossplat::threadpool::initialize_with_threads(threads);
     } catch (const std::exception &) {
-        // The pool is there already: the library allows one size for the life of the process.
+        // The pool exists already: its size cannot be changed while the process runs.
     }
 }
 
--- a/src/runtime/httpthreads.h
+++ b/src/runtime/httpthreads.h
@@ -4,8 +4,8 @@
 
 namespace guavavalve {
 
-/// Sets how many threads the HTTP library runs, for servers and clients together. Called once,
-/// before the first of either is made; a later call changes nothing.
+/// Sets the size of the thread pool that cpprestsdk shares between all its clients and listeners.
+/// Must be called before the first of them is created; later calls have no effect.
 void initializeHttpThreads(std::size_t threads);
 
 } // namespace guavavalve
--- a/src/runtime/ioloop.cpp
+++ b/src/runtime/ioloop.cpp
@@ -35,8 +35,8 @@
     this->d->context.stop();
     if (!this->d->thread.joinable())
         return;
-    // Guards against a thread that waits for itself, which ends the process: the last reference to
-    // a loop may go with an action that runs on it.
+    // The last reference to a loop may be released by an action that runs on it. Joining would then
+    // make the thread wait for itself, which terminates the process.
     if (this->isCurrentThread())
         this->d->thread.detach();
     else
--- a/src/runtime/ioloop.h
+++ b/src/runtime/ioloop.h
@@ -12,8 +12,8 @@
 
 namespace guavavalve {
 
-/// One event loop on one thread, which HTTP servers, HTTP clients and what decides may share: what
-/// runs on it needs no lock, and a request costs no change of threads.
+/// An event loop on a thread of its own. HTTP servers, HTTP clients and the controller can share
+/// one: code that runs on it needs no locks, and a request needs no thread switch.
 class IoLoop
 {
 public:
@@ -25,15 +25,15 @@
     IoLoop(const IoLoop &) = delete;
     IoLoop &operator=(const IoLoop &) = delete;
 
-    /// Ends the loop after the action that runs; later posts are dropped. From the loop itself it
-    /// returns at once, and the thread ends with the action.
+    /// Stops the loop after the current action; actions that have not run are dropped. Waits for
+    /// the thread, unless called on the loop: then the thread ends after the current action.
     void stop();
 
-    /// Runs \a action on the loop, after what was posted before. From any thread.
+    /// Runs \a action on the loop, after all actions posted before. May be called on any thread.
     void post(Action action);
-    /// Runs \a action at once when called on the loop, and else posts it.
+    /// Runs \a action at once if called on the loop; posts it otherwise.
     void dispatch(Action action);
-    /// Runs \a action on the loop once \a delay is over. From any thread.
+    /// Runs \a action on the loop after \a delay. May be called on any thread.
     void runAfter(Microseconds delay, Action action);
 
     bool isCurrentThread() const;
@@ -42,7 +42,7 @@
 
 private:
     struct Private;
-    std::shared_ptr<Private> d; ///< the loop's thread holds it too
+    std::shared_ptr<Private> d; ///< shared with the loop's thread
 };
 
 } // namespace guavavalve
--- a/src/runtime/logging.cpp
+++ b/src/runtime/logging.cpp
@@ -28,17 +28,17 @@
     return spdlog::level::info;
 }
 
-nlohmann::json fieldsAsJson(std::string_view what, std::initializer_list<LogField> fields)
+nlohmann::json fieldsAsJson(std::string_view event, std::initializer_list<LogField> fields)
 {
-    nlohmann::json line{{"event", std::string(what)}};
+    nlohmann::json line{{"event", std::string(event)}};
     for (const auto &[key, value] : fields)
         line[std::string(key)] = value;
     return line;
 }
 
-std::string fieldsAsText(std::string_view what, std::initializer_list<LogField> fields)
+std::string fieldsAsText(std::string_view event, std::initializer_list<LogField> fields)
 {
-    std::string line(what);
+    std::string line(event);
     for (const auto &[key, value] : fields) {
         line.append(" ").append(key).append("=");
         const bool plain = value.find_first_of(" \"\n\r\t") == std::string::npos;
@@ -49,7 +49,8 @@
     return line;
 }
 
-/// The fields are an object already; the pattern puts time and level into it.
+/// The message holds the members of a JSON object without its braces; the pattern adds the braces,
+/// the time and the level.
 constexpr const char *jsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z","level":"%l",%v})";
 constexpr const char *textPattern = "%Y-%m-%d %H:%M:%S.%e %l %v";
 
@@ -90,17 +91,17 @@
     return pool ? pool->overrun_counter() : 0;
 }
 
-void logEvent(LogLevel level, std::string_view what, std::initializer_list<LogField> fields)
+void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
 {
     spdlog::logger *logger = spdlog::default_logger_raw();
     if (logger == nullptr || !logger->should_log(spdlogLevel(level)))
         return;
     if (!writesJson) {
-        logger->log(spdlogLevel(level), fieldsAsText(what, fields));
+        logger->log(spdlogLevel(level), fieldsAsText(event, fields));
         return;
     }
     const std::string object =
-        fieldsAsJson(what, fields).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+        fieldsAsJson(event, fields).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     logger->log(spdlogLevel(level), object.substr(1, object.size() - 2));
 }
 
--- a/src/runtime/logging.h
+++ b/src/runtime/logging.h
@@ -16,14 +16,14 @@
 {
     LogLevel level = LogLevel::Information;
     LogFormat format = LogFormat::Text;
-    std::string file; ///< empty: standard error; "-": standard output
-    std::size_t queueLines = 8192; ///< beyond which the oldest line is dropped
+    std::string file; ///< path; empty: standard error; "-": standard output
+    std::size_t queueLines = 8192; ///< when full, the oldest line is dropped
 };
 
-/// Writes the process's log from a thread of its own for as long as it lives.
+/// Sets up the process's log, which is written on a separate thread while this object exists.
 ///
-/// The queue is bounded and drops its oldest line: a full disk or a blocked terminal must not
-/// hold up requests. Dropped lines are counted.
+/// The queue is bounded and drops its oldest line when full, so that a full disk or a blocked
+/// terminal does not delay requests. Dropped lines are counted.
 class Logging
 {
 public:
@@ -32,15 +32,15 @@
     Logging(const Logging &) = delete;
     Logging &operator=(const Logging &) = delete;
 
-    /// Lines dropped so far.
+    /// Lines dropped since the log was set up.
     static std::uint64_t droppedLines();
 };
 
-/// A named value of a log line.
+/// A key and its value in a log line.
 using LogField = std::pair<std::string_view, std::string>;
 
-/// Logs a change of state, as `what key=value ...`. Counters, and not lines, are for what
-/// happens to each request.
-void logEvent(LogLevel level, std::string_view what, std::initializer_list<LogField> fields = {});
+/// Logs a change of state as `event key=value ...`, or as a JSON object. What happens to each
+/// request is counted in metrics and not logged.
+void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
 } // namespace guavavalve
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -36,7 +36,7 @@
     return result;
 }
 
-/// The series of one metric, each made when its labels are first seen.
+/// The series of one metric, each created when its label values are first used.
 struct Series
 {
     std::mutex mutex;
@@ -44,8 +44,8 @@
     prometheus::Family<prometheus::Counter> *counters = nullptr;
     prometheus::Family<prometheus::Gauge> *gauges = nullptr;
     prometheus::Family<prometheus::Histogram> *histograms = nullptr;
-    // A map of our own: the family's would copy and sort the labels for each observation.
-    std::map<std::vector<std::string>, void *> known;
+    // A look-up in the family would copy and sort the labels for each observation.
+    std::map<std::vector<std::string>, void *> seriesByLabels;
 };
 
 } // namespace
@@ -97,7 +97,7 @@
         return &family.counters->Add(labels);
     if (family.gauges != nullptr)
         return &family.gauges->Add(labels);
-    return &family.histograms->Add(labels, Metrics::waitingBuckets());
+    return &family.histograms->Add(labels, Metrics::histogramBuckets());
 }
 
 void Metrics::Private::countOverflow()
@@ -109,14 +109,14 @@
 {
     Series &family = this->series[static_cast<std::size_t>(metric)];
     assert(labels.size() == family.labelNames.size()
-           && "give one value for each label of the metric's row");
+           && "pass one value for each label of the metric's row");
     std::unique_lock<std::mutex> lock(family.mutex);
-    const auto found = family.known.find(labels);
-    if (found != family.known.end())
+    const auto found = family.seriesByLabels.find(labels);
+    if (found != family.seriesByLabels.end())
         return found->second;
-    if (family.known.size() < this->maxSeries) {
+    if (family.seriesByLabels.size() < this->maxSeries) {
         void *added = this->add(family, labels);
-        family.known.emplace(labels, added);
+        family.seriesByLabels.emplace(labels, added);
         return added;
     }
     const LabelValues other(labels.size(), std::string(overflowLabel));
@@ -135,7 +135,7 @@
 
 Metrics::~Metrics() = default;
 
-const std::vector<double> &Metrics::waitingBuckets()
+const std::vector<double> &Metrics::histogramBuckets()
 {
     static const std::vector<double> bounds{0.0001, 0.0003, 0.001, 0.002, 0.005, 0.01,
                                             0.02,   0.05,   0.1,   0.25,  0.5,   1.0,
@@ -145,13 +145,13 @@
 
 void Metrics::count(Metric metric, const LabelValues &labels, double by)
 {
-    assert(describe(metric).type == MetricType::Counter && "count() is for counters");
+    assert(describe(metric).type == MetricType::Counter && "count() requires a counter");
     static_cast<prometheus::Counter *>(this->d->find(metric, labels))->Increment(by);
 }
 
 void Metrics::raiseCounterTo(Metric metric, double total, const LabelValues &labels)
 {
-    assert(describe(metric).type == MetricType::Counter && "countUpTo() is for counters");
+    assert(describe(metric).type == MetricType::Counter && "raiseCounterTo() requires a counter");
     auto *counter = static_cast<prometheus::Counter *>(this->d->find(metric, labels));
     const double missing = total - counter->Value();
     if (missing > 0.0)
@@ -160,13 +160,13 @@
 
 void Metrics::set(Metric metric, double value, const LabelValues &labels)
 {
-    assert(describe(metric).type == MetricType::Gauge && "set() is for gauges");
+    assert(describe(metric).type == MetricType::Gauge && "set() requires a gauge");
     static_cast<prometheus::Gauge *>(this->d->find(metric, labels))->Set(value);
 }
 
 void Metrics::observe(Metric metric, double value, const LabelValues &labels)
 {
-    assert(describe(metric).type == MetricType::Histogram && "observe() is for histograms");
+    assert(describe(metric).type == MetricType::Histogram && "observe() requires a histogram");
     static_cast<prometheus::Histogram *>(this->d->find(metric, labels))->Observe(value);
 }
 
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -9,17 +9,18 @@
 
 namespace guavavalve {
 
-/// The metrics of one instance. Safe from any thread.
+/// The metrics of one instance. Thread-safe.
 ///
-/// Label values are given in the order of the metric's row in metricTable(). A metric holds at
-/// most maxSeries series: teams and targets come and go for years, and a process that kept a
-/// series for each would grow without end. What comes later is counted under "other".
+/// Label values are passed in the order of the labels in the metric's row of metricTable(). A
+/// metric has at most maxSeries series: teams and targets come and go for years, and with a series
+/// for each of them the process would grow without bound. Further label values are counted under
+/// "other".
 class Metrics
 {
 public:
     using LabelValues = std::vector<std::string>;
 
-    static constexpr std::size_t defaultMaxSeries = 2000; // 350 teams in 4 classes, and room
+    static constexpr std::size_t defaultMaxSeries = 2000; // 350 teams in 4 classes, and a reserve
 
     explicit Metrics(std::size_t maxSeries = defaultMaxSeries);
     ~Metrics();
@@ -29,7 +30,7 @@
     /// Adds \a by to a counter.
     void count(Metric metric, const LabelValues &labels = {}, double by = 1.0);
 
-    /// Raises a counter to \a total, which is kept elsewhere; a lower total changes nothing.
+    /// Raises a counter to \a total, which is maintained elsewhere; a lower total has no effect.
     void raiseCounterTo(Metric metric, double total, const LabelValues &labels = {});
 
     /// Sets a gauge.
@@ -38,21 +39,23 @@
     /// Adds an observation, in the metric's unit, to a histogram.
     void observe(Metric metric, double value, const LabelValues &labels = {});
 
-    /// Has \a refresh called before each exposition, to set gauges that are read when asked for.
+    /// Adds a function that is called before each exposition, to update metrics whose values are
+    /// maintained elsewhere.
     void addRefreshCallback(std::function<void(Metrics &)> refresh);
 
-    /// Everything in Prometheus' text format.
+    /// All metrics in the Prometheus text format.
     std::string exposition();
 
-    /// Upper bounds of the histogram's buckets in seconds, from 0.1 ms to 10 min.
-    static const std::vector<double> &waitingBuckets();
+    /// Upper bounds of the buckets of all histograms, in seconds, from 0.1 ms to 10 min.
+    static const std::vector<double> &histogramBuckets();
 
 private:
     struct Private;
     std::unique_ptr<Private> d;
 };
 
-/// Counts this process's own processor time and memory: the control cost of the brief.
+/// Updates the metrics of the processor time and memory that this process uses, which are the cost
+/// of the control plane.
 void refreshProcessMetrics(Metrics &metrics);
 
 } // namespace guavavalve
--- a/src/runtime/metrictable.h
+++ b/src/runtime/metrictable.h
@@ -8,8 +8,8 @@
 
 namespace guavavalve {
 
-/// Every metric that an instance shows on /metrics. Named and measured in base units by the
-/// conventions of Prometheus.
+/// The metrics that an instance exposes on /metrics. Names and base units follow the conventions of
+/// Prometheus.
 enum class Metric : std::uint8_t {
     WaitingSeconds,
     WorkflowSeconds,
@@ -54,24 +54,24 @@
 
 enum class MetricType : std::uint8_t { Counter, Gauge, Histogram };
 
-/// One row of the table from which registration, exposition and the operators' page come.
+/// One row of the table from which the metrics are registered and the operators' page is generated.
 struct MetricDescription
 {
     Metric metric;
     std::string_view name;
     MetricType type;
     std::string_view unit;
-    std::string_view labels; ///< names, separated by commas
+    std::string_view labels; ///< label names, separated by commas
     std::string_view doc;
 };
 
-/// The table, in the order of Metric.
+/// All metrics, in the order of Metric.
 const std::array<MetricDescription, metricCount> &metricTable();
 
 /// The row of \a metric.
 const MetricDescription &describe(Metric metric);
 
-/// The table in Markdown, as docs/operators/metrics.md has it (`guavavalve help metrics`).
+/// The table in Markdown, as in docs/operators/metrics.md (printed by `guavavalve help metrics`).
 std::string metricsReference();
 
 } // namespace guavavalve
--- a/src/runtime/readiness.cpp
+++ b/src/runtime/readiness.cpp
@@ -23,16 +23,16 @@
 std::vector<NotReadyReason> Readiness::reasons() const
 {
     std::vector<NotReadyReason> result;
-    std::vector<std::pair<NotReadyReason, Condition>> toAsk;
+    std::vector<std::pair<NotReadyReason, Condition>> currentConditions;
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
         if (this->starting)
             result.push_back(NotReadyReason::Starting);
         if (this->shuttingDown)
             result.push_back(NotReadyReason::ShuttingDown);
-        toAsk = this->conditions;
+        currentConditions = this->conditions;
     }
-    for (const auto &[reason, holds] : toAsk) {
+    for (const auto &[reason, holds] : currentConditions) {
         if (!holds())
             result.push_back(reason);
     }
--- a/src/runtime/readiness.h
+++ b/src/runtime/readiness.h
@@ -10,7 +10,7 @@
 
 namespace guavavalve {
 
-/// Why an instance should get no new requests from the balancer.
+/// Why the load balancer should send an instance no new requests.
 enum class NotReadyReason : std::uint8_t {
     Starting,
     ShuttingDown,
@@ -27,26 +27,26 @@
     {NotReadyReason::Overloaded, "overloaded"},
 }};
 
-/// Whether this instance takes requests. Safe from any thread.
+/// Whether this instance can serve requests. Thread-safe.
 ///
-/// Conditions are evaluated when asked and not remembered: a process that was frozen past its
-/// lease, and wakes, must not say "ready" from before.
+/// Conditions are evaluated at each call and never cached: a process that was suspended until after
+/// its lease had expired must not report an earlier "ready" when it resumes.
 class Readiness
 {
 public:
-    /// True while the instance can take requests as far as the condition can tell.
+    /// Returns whether the instance can serve requests, as far as this condition is concerned.
     using Condition = std::function<bool()>;
 
-    /// Adds a condition; \a reason is given while it does not hold.
+    /// Adds a condition; \a reason is reported while it does not hold.
     void addCondition(NotReadyReason reason, Condition holds);
 
-    /// Ends the state Starting, which is the first.
+    /// Marks the instance as started; until then the reason Starting is reported.
     void started();
 
-    /// Not ready from now on, for good.
+    /// Reports ShuttingDown from now on. Cannot be undone.
     void beginShutdown();
 
-    /// Why the instance is not ready; empty when it is.
+    /// The reasons why the instance is not ready; empty if it is ready.
     std::vector<NotReadyReason> reasons() const;
 
     bool isReady() const { return this->reasons().empty(); }
--- a/src/runtime/signalwatcher.cpp
+++ b/src/runtime/signalwatcher.cpp
@@ -32,46 +32,47 @@
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
 
-SignalWatcher::SignalWatcher(std::function<void(int signal)> onFirst,
+SignalWatcher::SignalWatcher(std::function<void(int signal)> onTerminate,
                              std::function<void()> onReload)
 {
     const sigset_t set = watchedSignals();
     this->signals = signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK);
-    this->wakeUp = eventfd(0, EFD_CLOEXEC);
-    assert(this->signals >= 0 && this->wakeUp >= 0 && "raise the limit of open files");
+    this->stopEvent = eventfd(0, EFD_CLOEXEC);
+    assert(this->signals >= 0 && this->stopEvent >= 0
+           && "cannot create a descriptor: raise the limit of open files");
     this->thread =
-        std::thread([this, onFirst = std::move(onFirst), onReload = std::move(onReload)] {
-            this->watch(onFirst, onReload);
+        std::thread([this, onTerminate = std::move(onTerminate), onReload = std::move(onReload)] {
+            this->watch(onTerminate, onReload);
         });
 }
 
 SignalWatcher::~SignalWatcher()
 {
     const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t written = write(this->wakeUp, &one, sizeof one);
+    [[maybe_unused]] const ssize_t written = write(this->stopEvent, &one, sizeof one);
     this->thread.join();
     close(this->signals);
-    close(this->wakeUp);
+    close(this->stopEvent);
 }
 
-void SignalWatcher::watch(const std::function<void(int signal)> &onFirst,
+void SignalWatcher::watch(const std::function<void(int signal)> &onTerminate,
                           const std::function<void()> &onReload) const
 {
     bool called = false;
-    std::array<pollfd, 2> waited{{{this->signals, POLLIN, 0}, {this->wakeUp, POLLIN, 0}}};
+    std::array<pollfd, 2> polled{{{this->signals, POLLIN, 0}, {this->stopEvent, POLLIN, 0}}};
     while (true) {
-        if (poll(waited.data(), waited.size(), -1) < 0)
-            continue; // EINTR: some other signal
-        if (waited[1].revents != 0)
+        if (poll(polled.data(), polled.size(), -1) < 0)
+            continue; // EINTR: interrupted by another signal
+        if (polled[1].revents != 0)
             return;
         signalfd_siginfo info{};
-        const bool whole = read(this->signals, &info, sizeof info) == sizeof info;
-        if (whole && info.ssi_signo == SIGHUP && onReload)
+        const bool isComplete = read(this->signals, &info, sizeof info) == sizeof info;
+        if (isComplete && info.ssi_signo == SIGHUP && onReload)
             onReload();
-        if (!whole || called || info.ssi_signo == SIGHUP)
+        if (!isComplete || called || info.ssi_signo == SIGHUP)
             continue;
         called = true;
-        onFirst(static_cast<int>(info.ssi_signo));
+        onTerminate(static_cast<int>(info.ssi_signo));
     }
 }
 
--- a/src/runtime/signalwatcher.h
+++ b/src/runtime/signalwatcher.h
@@ -5,34 +5,34 @@
 
 namespace guavavalve {
 
-/// Turns SIGTERM and SIGINT into one call of a function, and each SIGHUP into a call of another,
-/// on a thread of its own.
+/// Calls a function once on the first SIGTERM or SIGINT, and another one on each SIGHUP. Both are
+/// called on a separate thread.
 class SignalWatcher
 {
 public:
-    /// Blocks the signals for this thread and those that it starts. Called first thing in
-    /// main(): a thread started earlier would take the signal and end the process, and with it
-    /// every open request.
+    /// Blocks the signals for this thread and the threads that it starts. Must be called first in
+    /// main(): a thread started earlier would receive the signal, which terminates the process and
+    /// with it every open request.
     static void blockSignals();
 
-    /// Calls \a onFirst once, at the first of the signals.
+    /// Calls \a onTerminate once, on the first SIGTERM or SIGINT.
     ///
-    /// Later signals change nothing. An operator or a supervisor that sends a second one while
-    /// requests are being finished would otherwise cut them off; whoever wants that has SIGKILL.
+    /// Later ones are ignored: otherwise a second signal from an operator or a supervisor would
+    /// abort the requests that are being completed. To abort them, send SIGKILL.
     ///
-    /// SIGHUP, which ends a process that does not watch for it, calls \a onReload.
-    explicit SignalWatcher(std::function<void(int signal)> onFirst,
+    /// SIGHUP calls \a onReload, if set, and does not terminate the process as it does by default.
+    explicit SignalWatcher(std::function<void(int signal)> onTerminate,
                            std::function<void()> onReload = nullptr);
     ~SignalWatcher();
     SignalWatcher(const SignalWatcher &) = delete;
     SignalWatcher &operator=(const SignalWatcher &) = delete;
 
 private:
-    void watch(const std::function<void(int signal)> &onFirst,
+    void watch(const std::function<void(int signal)> &onTerminate,
                const std::function<void()> &onReload) const;
 
     int signals = -1; ///< signalfd
-    int wakeUp = -1; ///< eventfd that ends the thread
+    int stopEvent = -1; ///< eventfd that stops the thread
     std::thread thread;
 };
 
--- a/src/runtime/timerqueue.h
+++ b/src/runtime/timerqueue.h
@@ -11,22 +11,24 @@
 
 namespace guavavalve {
 
-/// Runs actions at their time, on one thread of its own.
+/// Runs actions at given times, on a thread of its own.
 class TimerQueue
 {
 public:
     using Action = std::function<void()>;
 
     TimerQueue();
-    /// Drops what has not run yet; an action that runs is waited for.
+    /// Drops actions that have not started, and waits for one that is running.
     ~TimerQueue();
     TimerQueue(const TimerQueue &) = delete;
     TimerQueue &operator=(const TimerQueue &) = delete;
 
-    /// Runs \a action once, at \a due or soon after. It must not block. Cost: logarithmic.
+    /// Runs \a action once, at \a due or soon after. It must not block. Cost: logarithmic in the
+    /// number of waiting actions.
     void runAt(Instant due, Action action);
     void runAfter(Microseconds delay, Action action);
 
+    /// Actions that have not started.
     std::size_t waiting() const;
 
 private:
--- a/test/fakes/eventually.h
+++ b/test/fakes/eventually.h
@@ -6,17 +6,17 @@
 
 namespace fakes {
 
-/// Waits until \a condition holds; false if it does not within a patience that is far longer
-/// than anything here takes.
+/// Polls \a condition until it holds; false if it does not within a timeout that is far longer than
+/// any test needs.
 inline bool eventually(const std::function<bool()> &condition)
 {
-    constexpr std::chrono::seconds patience{30};
-    constexpr std::chrono::milliseconds pause{5};
-    const auto end = std::chrono::steady_clock::now() + patience;
+    constexpr std::chrono::seconds timeout{30};
+    constexpr std::chrono::milliseconds pollInterval{5};
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (std::chrono::steady_clock::now() < end) {
         if (condition())
             return true;
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(pollInterval);
     }
     return condition();
 }
--- a/test/fakes/fakecontroller.h
+++ b/test/fakes/fakecontroller.h
@@ -11,7 +11,7 @@
 
 namespace fakes {
 
-/// A controller that answers as its hooks say, at once, and records what it was told.
+/// A controller that replies at once with the results of its hooks, and records the calls.
 class FakeController : public guavavalve::ControllerClient
 {
 public:
@@ -62,15 +62,15 @@
         done(std::move(result));
     }
 
-    /// Waits until \a condition holds of what was recorded; false if it never does.
+    /// Waits until \a condition holds for the recorded calls; false on timeout.
     bool waitUntil(const std::function<bool()> &condition)
     {
-        constexpr std::chrono::seconds patience{30};
+        constexpr std::chrono::seconds timeout{30};
         std::unique_lock lock(this->mutex);
-        return this->changed.wait_for(lock, patience, condition);
+        return this->changed.wait_for(lock, timeout, condition);
     }
 
-    /// Recorded; read under waitUntil(), or once nothing is under way.
+    /// Recorded calls. Read them within waitUntil(), or when no call is in progress.
     std::vector<guavavalve::SubmitRequest> submitted;
     std::vector<guavavalve::AttemptEnd> ends;
     std::vector<std::vector<guavavalve::Announcement>> batches;
--- a/test/fakes/httpcaller.h
+++ b/test/fakes/httpcaller.h
@@ -16,7 +16,7 @@
     std::string body;
 };
 
-/// One blocking HTTP request, as a caller sends it.
+/// Sends one HTTP request as a caller does, and waits for the response.
 inline HttpAnswer callHttp(const std::string &method, const std::string &url,
                            const std::map<std::string, std::string> &headers = {},
                            const std::string &body = {})
--- a/test/fakes/temporaryfile.h
+++ b/test/fakes/temporaryfile.h
@@ -8,7 +8,7 @@
 
 namespace fakes {
 
-/// A file of its own in the system's folder for temporary files, removed at the end.
+/// A unique path in the system's folder for temporary files. The file is removed on destruction.
 class TemporaryFile
 {
 public:
--- a/test/runtime/descriptorbudgettest.cpp
+++ b/test/runtime/descriptorbudgettest.cpp
@@ -4,7 +4,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("descriptors are divided by weight after the least numbers", "[descriptors]")
+TEST_CASE("descriptors beyond the minimums are divided by weight", "[descriptors]")
 {
     const auto budget = DescriptorBudget::divide(164,
                                                  {{DescriptorUse::Files, 24, 0},
@@ -17,7 +17,7 @@
     CHECK(budget.value().of(DescriptorUse::Admissions) == 0);
 }
 
-TEST_CASE("the parts never add up to more than the limit", "[descriptors]")
+TEST_CASE("the sum of all uses never exceeds the limit", "[descriptors]")
 {
     for (std::size_t limit = 64; limit <= 200; ++limit) {
         const auto budget = DescriptorBudget::divide(limit,
@@ -33,7 +33,8 @@
     }
 }
 
-TEST_CASE("a limit that is too small is an error that says how many are needed", "[descriptors]")
+TEST_CASE("a limit below the minimums is an error that says how many descriptors are needed",
+          "[descriptors]")
 {
     const auto budget = DescriptorBudget::divide(
         63, {{DescriptorUse::Files, 40, 0}, {DescriptorUse::Targets, 24, 1}});
--- a/test/runtime/httpclienttest.cpp
+++ b/test/runtime/httpclienttest.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// A client on a loop of its own, and a server.
+/// A client on a loop of its own.
 class ClientFixture
 {
 public:
@@ -51,7 +51,7 @@
         return answer.get();
     }
 
-    /// The same, without waiting for the answer.
+    /// Sends \a call without waiting for the response.
     std::future<Result<HttpResponse>> send(std::uint16_t port, HttpClient::Call call,
                                            Milliseconds limit = Milliseconds(10000))
     {
@@ -78,29 +78,29 @@
     std::unique_ptr<HttpClient> client;
 };
 
-/// Two connections to a peer and three in all.
-class NarrowClientFixture : public ClientFixture
+/// A client with at most two connections to a peer and three in total.
+class LimitedClientFixture : public ClientFixture
 {
 public:
-    NarrowClientFixture()
+    LimitedClientFixture()
         : ClientFixture(options())
     {}
 
     static HttpClientOptions options()
     {
-        HttpClientOptions narrow;
-        narrow.maxPerPeer = 2;
-        narrow.maxConnections = 3;
-        narrow.maxWaitingPerPeer = 8;
-        return narrow;
+        HttpClientOptions limited;
+        limited.maxPerPeer = 2;
+        limited.maxConnections = 3;
+        limited.maxWaitingPerPeer = 8;
+        return limited;
     }
 };
 
-/// Keeps its answers until it is told to give them, and remembers what came in which order.
-class HoldingServer
+/// Delays its responses until answerAll(), and records the paths of requests in order of arrival.
+class DeferringServer
 {
 public:
-    HoldingServer()
+    DeferringServer()
         : server({})
     {
         this->server.route("*", "/", [this](const HttpRequest &request, HttpReply reply) {
@@ -111,12 +111,12 @@
         REQUIRE(this->server.start());
     }
 
-    std::size_t taken()
+    std::size_t requestCount()
     {
         const std::lock_guard lock(this->mutex);
         return this->paths.size();
     }
-    /// Answers everything that has come.
+    /// Responds to all requests received so far.
     void answerAll()
     {
         const std::lock_guard lock(this->mutex);
@@ -138,16 +138,16 @@
     return call;
 }
 
-HttpServerOptions shortIdle()
+HttpServerOptions shortIdleTimeout()
 {
     HttpServerOptions options;
-    options.idleLimit = Milliseconds(100);
+    options.idleTimeout = Milliseconds(100);
     return options;
 }
 
 } // namespace
 
-TEST_CASE_METHOD(ClientFixture, "calls one after the other share a connection", "[httpclient]")
+TEST_CASE_METHOD(ClientFixture, "sequential calls reuse one connection", "[httpclient]")
 {
     HttpServer server({});
     server.route("*", "/", [](const HttpRequest &request, const HttpReply &reply) {
@@ -164,12 +164,12 @@
     CHECK(this->client->statistics().opened == 1);
 }
 
-TEST_CASE_METHOD(ClientFixture, "a connection that the server has closed is not used again",
+TEST_CASE_METHOD(ClientFixture, "a connection that the server has closed is not reused",
                  "[httpclient]")
 {
-    // The server closes an idle connection. A call sent on it would fail, and nobody could say
-    // whether it had run.
-    HttpServer server(shortIdle());
+    // The server closes an idle connection. A call sent on it would fail, and whether it had run
+    // would be unknown.
+    HttpServer server(shortIdleTimeout());
     server.route("*", "/", [](const HttpRequest &, const HttpReply &reply) { reply({}); });
     REQUIRE(server.start());
     REQUIRE(this->call(server.port(), "/"));
@@ -178,7 +178,8 @@
     CHECK(this->client->statistics().opened == 2);
 }
 
-TEST_CASE_METHOD(ClientFixture, "a call without an answer ends at its deadline, its run unknown",
+TEST_CASE_METHOD(ClientFixture,
+                 "a call without a response fails at its deadline, and whether it ran is unknown",
                  "[httpclient]")
 {
     HttpServer server({});
@@ -192,19 +193,20 @@
     REQUIRE(!silent);
     CHECK(silent.error().code == ErrorCode::DeadlineExceeded);
     CHECK(silent.error().ran == Ran::Unknown);
-    CHECK(this->call(server.port(), "/")); // on a connection of its own
+    CHECK(this->call(server.port(), "/")); // on a new connection
     held.clear();
 }
 
-TEST_CASE_METHOD(ClientFixture, "a call that found no server has not run", "[httpclient]")
+TEST_CASE_METHOD(ClientFixture, "a call that cannot connect has not run", "[httpclient]")
 {
-    const auto refused = this->call(1, "/"); // nobody listens on port 1
+    const auto refused = this->call(1, "/"); // nothing listens on port 1
     REQUIRE(!refused);
     CHECK(refused.error().code == ErrorCode::Unavailable);
     CHECK(refused.error().ran == Ran::No);
 }
 
-TEST_CASE_METHOD(ClientFixture, "a connection that breaks before the answer leaves the run unknown",
+TEST_CASE_METHOD(ClientFixture,
+                 "if the connection breaks before the response, whether the call ran is unknown",
                  "[httpclient]")
 {
     boost::asio::io_context context;
@@ -222,11 +224,11 @@
     CHECK(broken.error().ran == Ran::Unknown);
 }
 
-// Guards against a client that opens a connection for every call until no descriptor is left.
-TEST_CASE_METHOD(NarrowClientFixture, "calls beyond a peer's connections wait in line",
+// Guards against a client that opens a connection for each call until no file descriptor is left.
+TEST_CASE_METHOD(LimitedClientFixture, "calls beyond the connection limit of a peer are queued",
                  "[httpclient]")
 {
-    HoldingServer peer;
+    DeferringServer peer;
     std::vector<std::future<Result<HttpResponse>>> answers;
     answers.reserve(9);
     for (int i = 0; i < 9; ++i)
@@ -235,7 +237,7 @@
     CHECK(this->statistics().open == 2);
     REQUIRE(eventually([&] {
         peer.answerAll();
-        return peer.taken() == 9;
+        return peer.requestCount() == 9;
     }));
     peer.answerAll();
     for (auto &answer : answers)
@@ -244,23 +246,24 @@
     CHECK(this->statistics().waiting == 0);
 }
 
-TEST_CASE_METHOD(NarrowClientFixture, "the most urgent call in line leaves first", "[httpclient]")
+TEST_CASE_METHOD(LimitedClientFixture, "the most urgent queued call is sent first", "[httpclient]")
 {
-    HoldingServer peer;
+    DeferringServer peer;
     std::vector<std::future<Result<HttpResponse>>> answers;
     answers.push_back(this->send(peer.server.port(), callOf("/first")));
     answers.push_back(this->send(peer.server.port(), callOf("/second")));
     answers.push_back(this->send(peer.server.port(), callOf("/late", 3)));
     answers.push_back(this->send(peer.server.port(), callOf("/soon", 1)));
     answers.push_back(this->send(peer.server.port(), callOf("/now", 0)));
-    REQUIRE(eventually([&] { return peer.taken() == 2 && this->statistics().waiting == 3; }));
+    REQUIRE(
+        eventually([&] { return peer.requestCount() == 2 && this->statistics().waiting == 3; }));
     for (std::size_t more = 3; more <= 5; ++more) {
         {
             const std::lock_guard lock(peer.mutex);
             peer.held.front()({});
             peer.held.erase(peer.held.begin());
         }
-        REQUIRE(eventually([&] { return peer.taken() == more; }));
+        REQUIRE(eventually([&] { return peer.requestCount() == more; }));
     }
     const std::lock_guard lock(peer.mutex);
     const std::vector<std::string> order(peer.paths.begin() + 2, peer.paths.end());
@@ -269,10 +272,10 @@
         reply({});
 }
 
-TEST_CASE_METHOD(NarrowClientFixture, "a call whose turn has not come by its deadline has not run",
-                 "[httpclient]")
+TEST_CASE_METHOD(LimitedClientFixture,
+                 "a call that is still queued at its leaveBy time has not run", "[httpclient]")
 {
-    HoldingServer peer;
+    DeferringServer peer;
     auto first = this->send(peer.server.port(), callOf("/"));
     auto second = this->send(peer.server.port(), callOf("/"));
     HttpClient::Call brief = callOf("/");
@@ -281,15 +284,15 @@
     REQUIRE(!late);
     CHECK(late.error().code == ErrorCode::LimitExceeded);
     CHECK(late.error().ran == Ran::No);
-    CHECK(peer.taken() == 2);
+    CHECK(peer.requestCount() == 2);
     peer.answerAll();
     CHECK(first.get());
     CHECK(second.get());
 }
 
-TEST_CASE_METHOD(NarrowClientFixture, "a line that is full refuses at once", "[httpclient]")
+TEST_CASE_METHOD(LimitedClientFixture, "a full queue refuses calls at once", "[httpclient]")
 {
-    HoldingServer peer;
+    DeferringServer peer;
     std::vector<std::future<Result<HttpResponse>>> answers;
     answers.reserve(10);
     for (int i = 0; i < 10; ++i)
@@ -299,30 +302,30 @@
     CHECK(refused.error().code == ErrorCode::LimitExceeded);
     CHECK(refused.error().ran == Ran::No);
     CHECK(this->statistics().refused == 1);
-    while (peer.taken() < 10 || this->statistics().waiting > 0)
+    while (peer.requestCount() < 10 || this->statistics().waiting > 0)
         peer.answerAll();
     peer.answerAll();
 }
 
-// Guards against orders that wait behind a question that a target answers only when something ends.
-TEST_CASE_METHOD(NarrowClientFixture, "a long poll holds up no other call", "[httpclient]")
+// Guards against orders that wait behind a long poll, which a target answers only when a run ends.
+TEST_CASE_METHOD(LimitedClientFixture, "a long poll does not delay other calls", "[httpclient]")
 {
-    HoldingServer peer;
+    DeferringServer peer;
     HttpClient::Call poll = callOf("/poll");
     poll.isLongPoll = true;
     auto polled = this->send(peer.server.port(), poll);
-    REQUIRE(eventually([&] { return peer.taken() == 1; }));
+    REQUIRE(eventually([&] { return peer.requestCount() == 1; }));
     auto ordered = this->send(peer.server.port(), callOf("/order"));
     auto another = this->send(peer.server.port(), callOf("/order"));
-    REQUIRE(eventually([&] { return peer.taken() == 3; }));
+    REQUIRE(eventually([&] { return peer.requestCount() == 3; }));
     peer.answerAll();
     CHECK(polled.get());
     CHECK(ordered.get());
     CHECK(another.get());
 }
 
-// Guards against peers that never get a connection while others keep idle ones.
-TEST_CASE_METHOD(NarrowClientFixture, "an idle connection makes room for another peer",
+// Guards against peers that get no connection while idle connections to others use up the limit.
+TEST_CASE_METHOD(LimitedClientFixture, "an idle connection is closed for another peer at the limit",
                  "[httpclient]")
 {
     std::vector<std::unique_ptr<HttpServer>> peers;
@@ -338,20 +341,21 @@
     CHECK(this->statistics().evicted == 3);
 }
 
-TEST_CASE_METHOD(NarrowClientFixture, "a peer without a connection gets the next one that is free",
+TEST_CASE_METHOD(LimitedClientFixture,
+                 "a peer without a connection gets the next one that becomes available",
                  "[httpclient]")
 {
-    HoldingServer busy;
-    HoldingServer other;
-    HoldingServer third;
+    DeferringServer busy;
+    DeferringServer other;
+    DeferringServer third;
     auto first = this->send(busy.server.port(), callOf("/"));
     auto second = this->send(busy.server.port(), callOf("/"));
     auto blocking = this->send(other.server.port(), callOf("/"));
-    REQUIRE(eventually([&] { return busy.taken() == 2 && other.taken() == 1; }));
+    REQUIRE(eventually([&] { return busy.requestCount() == 2 && other.requestCount() == 1; }));
     auto starved = this->send(third.server.port(), callOf("/"));
     REQUIRE(eventually([&] { return this->statistics().waiting == 1; }));
     busy.answerAll();
-    REQUIRE(eventually([&] { return third.taken() == 1; }));
+    REQUIRE(eventually([&] { return third.requestCount() == 1; }));
     CHECK(this->statistics().open <= 3);
     third.answerAll();
     other.answerAll();
--- a/test/runtime/httpservertest.cpp
+++ b/test/runtime/httpservertest.cpp
@@ -17,9 +17,9 @@
 
 using boost::asio::ip::tcp;
 
-constexpr auto patience = std::chrono::seconds(20);
+constexpr auto timeout = std::chrono::seconds(20);
 
-/// A caller that writes what it likes.
+/// A caller that sends arbitrary bytes, which need not be valid HTTP.
 class RawCaller
 {
 public:
@@ -33,14 +33,14 @@
         boost::asio::write(this->socket, boost::asio::buffer(bytes));
     }
 
-    /// Sends what it can; the server may close meanwhile.
+    /// Sends as much as possible; the server may close the connection meanwhile.
     void trySend(const std::string &bytes)
     {
         boost::system::error_code ignored;
         boost::asio::write(this->socket, boost::asio::buffer(bytes), ignored);
     }
 
-    /// Reads until \a end has come or the server has closed.
+    /// Reads until \a end is received or the server closes the connection.
     std::string readUntil(const std::string &end)
     {
         std::string got;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a request reaches the handler of its longest prefix and gets its own answer", "[http]")
+TEST_CASE("a request is routed to the handler of the longest matching prefix", "[http]")
 {
     HttpServer server({});
     server.route("POST", "/v1", [](const HttpRequest &, const HttpReply &reply) {
@@ -91,9 +91,10 @@
     CHECK(caller.readUntil("}").find(" 404 ") != std::string::npos);
 }
 
-TEST_CASE("an oversized body is refused with its bound and is not kept", "[http]")
+TEST_CASE("an oversized body is refused, the limit is named, and the body is not stored", "[http]")
 {
-    // A caller sends far more than is allowed. Without the bound the instance would hold it all.
+    // A caller sends far more than is allowed. Without the limit the instance would store all of it
+    // in memory.
     HttpServerOptions options;
     options.maxBodyBytes = 1000;
     HttpServer server(options);
@@ -104,13 +105,13 @@
     const std::string answer = caller.readUntil("}");
     CHECK(answer.find(" 413 ") != std::string::npos);
     CHECK(answer.find("over 1000 bytes") != std::string::npos);
-    CHECK(server.waitUntilIdle(monotonicNow() + patience));
+    CHECK(server.waitUntilIdle(monotonicNow() + timeout));
 }
 
-TEST_CASE("open requests are finished after the server has stopped accepting", "[http]")
+TEST_CASE("requests in flight are completed after the server has stopped accepting", "[http]")
 {
-    // A rolling restart: one request is open when the instance begins to shut down. It must get
-    // its answer, a later one a true refusal, and only then is the server idle.
+    // In a rolling restart a request is in flight when the instance begins to shut down. It must
+    // get its response, a later request must be refused, and the server is idle only after both.
     HttpServer server({});
     std::mutex mutex;
     std::condition_variable arrived;
@@ -125,7 +126,7 @@
     open.send(request("GET", "/slow", ""));
     {
         std::unique_lock lock(mutex);
-        REQUIRE(arrived.wait_for(lock, patience, [&] { return held != nullptr; }));
+        REQUIRE(arrived.wait_for(lock, timeout, [&] { return held != nullptr; }));
     }
     server.stopAccepting();
     RawCaller late(server.port());
@@ -135,5 +136,5 @@
     held({200, {}, "whole", "text/plain"});
     held = nullptr;
     CHECK(open.readUntil("whole").find("whole") != std::string::npos);
-    CHECK(server.waitUntilIdle(monotonicNow() + patience));
+    CHECK(server.waitUntilIdle(monotonicNow() + timeout));
 }
--- a/test/runtime/iolooptest.cpp
+++ b/test/runtime/iolooptest.cpp
@@ -8,7 +8,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("actions run on the loop in their order", "[ioloop]")
+TEST_CASE("actions run on the loop in the order of their posts", "[ioloop]")
 {
     IoLoop loop;
     std::promise<bool> done;
@@ -19,10 +19,11 @@
     CHECK_FALSE(loop.isCurrentThread());
 }
 
-TEST_CASE("a loop whose last reference goes on its own thread ends quietly", "[ioloop]")
+TEST_CASE("a loop whose last reference is released on its own thread stops without an error",
+          "[ioloop]")
 {
-    // A server closes: the action that closes its connections holds the last reference to the
-    // loop. The loop's end then waited for its own thread, and the process was ended for it.
+    // When a server closes, the action that closes its connections may hold the last reference to
+    // the loop. The loop's destructor then joined its own thread, which terminated the process.
     for (int i = 0; i < 20; ++i) {
         auto loop = std::make_shared<IoLoop>();
         std::promise<void> gone;
@@ -36,7 +37,8 @@
     SUCCEED();
 }
 
-TEST_CASE("servers on a loop that others hold come and go", "[ioloop]")
+TEST_CASE("a server can be destroyed while it holds the last reference to a shared loop",
+          "[ioloop]")
 {
     for (int i = 0; i < 50; ++i) {
         HttpServerOptions options;
--- a/test/runtime/loggingtest.cpp
+++ b/test/runtime/loggingtest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A file of the test's own, removed with it.
+/// A temporary file that is removed on destruction.
 class TemporaryFile
 {
 public:
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("A JSON log line is whole JSON whatever its fields hold")
+TEST_CASE("A JSON log line is valid JSON whatever its fields contain")
 {
     const TemporaryFile file;
     {
@@ -56,7 +56,7 @@
     CHECK(line.contains("time"));
 }
 
-TEST_CASE("A text log line quotes the fields that need it and levels below are left out")
+TEST_CASE("A text log line quotes fields that need it, and lines below the level are omitted")
 {
     const TemporaryFile file;
     {
--- a/test/runtime/metricstest.cpp
+++ b/test/runtime/metricstest.cpp
@@ -34,16 +34,16 @@
     }
 }
 
-TEST_CASE("The operators' page of metrics is the table in the code")
+TEST_CASE("The operators' page of metrics matches the table in the code")
 {
     std::ifstream file(std::string(GUAVAVALVE_SOURCE_FOLDER) + "/docs/operators/metrics.md");
     REQUIRE(file.good());
     const std::string page{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-    INFO("print the table anew with: guavavalve help metrics");
+    INFO("regenerate the table with: guavavalve help metrics");
     CHECK(contains(page, "\n" + metricsReference()));
 }
 
-TEST_CASE("Waiting time is a histogram by team and class from a tenth of a millisecond")
+TEST_CASE("Waiting time is a histogram by team and class with buckets from 0.1 ms to 10 min")
 {
     Metrics metrics;
     metrics.observe(Metric::WaitingSeconds, 0.00005, {"brandvold", "prompt"});
@@ -56,14 +56,14 @@
     CHECK(contains(text,
                    "guavavalve_waiting_seconds_bucket{class=\"batch\",team=\"brandvold\","
                    "le=\"600\"} 0"));
-    CHECK(Metrics::waitingBuckets().front() == 0.0001);
-    CHECK(Metrics::waitingBuckets().back() == 600.0);
+    CHECK(Metrics::histogramBuckets().front() == 0.0001);
+    CHECK(Metrics::histogramBuckets().back() == 600.0);
 }
 
-// A team's name is chosen by people and teams come and go. A metric that keeps a series for each
-// name that it has ever seen grows until the process is over its memory: with the bound, the
-// names that come late are counted together.
-TEST_CASE("Series beyond the bound are counted together as other")
+// Team names are chosen by users, and teams come and go. If a metric kept a series for each name
+// that it has ever seen, the process would run out of memory. Beyond the limit, new names are
+// counted together.
+TEST_CASE("Series beyond the limit are counted together as other")
 {
     Metrics metrics(2);
     for (const char *team : {"a", "b", "c", "d"})
@@ -75,7 +75,7 @@
     CHECK(contains(text, "guavavalve_series_dropped_total 2"));
 }
 
-TEST_CASE("Sources are asked before each exposition and counters never fall")
+TEST_CASE("Refresh callbacks run before each exposition, and counters never decrease")
 {
     Metrics metrics;
     double total = 5.0;
--- a/test/runtime/readinesstest.cpp
+++ b/test/runtime/readinesstest.cpp
@@ -4,7 +4,7 @@
 
 using namespace guavavalve;
 
-TEST_CASE("An instance is not ready before it has started and after shutdown began")
+TEST_CASE("An instance is not ready before it has started or after shutdown has begun")
 {
     Readiness readiness;
     CHECK(readiness.reasons() == std::vector<NotReadyReason>{NotReadyReason::Starting});
@@ -14,10 +14,10 @@
     CHECK(readiness.reasons() == std::vector<NotReadyReason>{NotReadyReason::ShuttingDown});
 }
 
-// A frozen instance wakes after its configuration lease has run out and the balancer asks at
-// once. An answer remembered from before the freeze would bring it requests that it must refuse.
-// The condition is evaluated at each question, so the first answer after the wake is "not ready".
-TEST_CASE("Readiness is evaluated when asked and not remembered")
+// A suspended instance resumes after its configuration lease has expired, and the load balancer
+// probes it at once. A cached result from before the suspension would bring it requests that it
+// must refuse. As the condition is evaluated at each call, the first result is "not ready".
+TEST_CASE("Readiness is evaluated at each call and not cached")
 {
     Readiness readiness;
     bool leased = true;
--- a/test/runtime/serviceroutestest.cpp
+++ b/test/runtime/serviceroutestest.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// The whole answer to a GET, status line and headers included.
+/// The complete response to a GET request, including status line and headers.
 std::string fetch(std::uint16_t port, const std::string &path)
 {
     boost::asio::io_context context;
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("The balancer is told why an instance is not ready")
+TEST_CASE("/readyz reports why an instance is not ready")
 {
     Readiness readiness;
     Metrics metrics;
@@ -56,7 +56,7 @@
     server.close();
 }
 
-TEST_CASE("A refusal states whether work ran and when to come back")
+TEST_CASE("An error response states whether work ran and when to retry")
 {
     Error error = failure(ErrorCode::Unavailable, "no controller");
     error.retryAfter = Milliseconds(1200);
--- a/test/runtime/signalwatchertest.cpp
+++ b/test/runtime/signalwatchertest.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Before main(), as a daemon does it first: another test's threads would take the signals.
+/// Blocked before main(), as early as a daemon does it: threads of other tests would otherwise
+/// receive the signals.
 [[maybe_unused]] const bool blocked = (SignalWatcher::blockSignals(), true);
 
 bool isPending(int signal)
@@ -23,7 +24,7 @@
     return sigismember(&pending, signal) == 1;
 }
 
-/// Bounded by a minute, so that a fault ends the test and does not hang it.
+/// Waits for at most a minute, so that a fault fails the test instead of hanging it.
 template<typename Condition>
 bool eventually(Condition holds)
 {
@@ -38,10 +39,10 @@
 
 } // namespace
 
-// A supervisor sends SIGTERM, loses patience and sends it again while the last requests are being
-// finished. A process that takes the second one as "now" cuts callers off in the middle of their
-// answers. The watcher calls once, takes later signals off the queue and does nothing.
-TEST_CASE("A second signal neither ends the process nor calls again")
+// A supervisor sends SIGTERM a second time while the last requests are being completed. If the
+// second signal terminated the process, callers would lose their responses. The watcher calls the
+// function once, and receives and ignores later signals.
+TEST_CASE("A second signal neither terminates the process nor calls the function again")
 {
     std::atomic<int> calls{0};
     {
