--- a/src/attribution/attribution.cpp
+++ b/src/attribution/attribution.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// By the outcomes' names in the log; a run that succeeded is no delay.
+/// The causes by the outcome's name in the log; a run that succeeded is not a delay.
 constexpr EnumNames<DelayCause, 8> causesOfOutcomes{{
     {DelayCause::TargetFailed, "failed"},
     {DelayCause::TargetLost, "lost"},
@@ -29,12 +29,12 @@
     return parts;
 }
 
-std::uint32_t numberIn(const std::string &text)
+std::uint32_t parseNumber(const std::string &text)
 {
     return static_cast<std::uint32_t>(std::strtoul(text.c_str(), nullptr, 10));
 }
 
-/// "job.occurrence.step" as the job and the rest.
+/// Splits "job.occurrence.step" into "job" and "occurrence.step".
 std::pair<std::string, std::string> splitStep(const std::string &name)
 {
     const std::size_t dot = name.find('.');
@@ -48,7 +48,7 @@
     return std::max<std::int64_t>(0, std::min(a.second, b.second) - std::max(a.first, b.first));
 }
 
-std::int64_t overlapOfAll(const std::vector<Span> &spans, const Span &with)
+std::int64_t totalOverlap(const std::vector<Span> &spans, const Span &with)
 {
     std::int64_t sum = 0;
     for (const Span &span : spans)
@@ -69,63 +69,63 @@
 
 } // namespace
 
-void Attribution::take(const LogEvent &event)
+void Attribution::addEvent(const LogEvent &event)
 {
     this->beginsAtMs = this->beginsAtMs == 0 ? event.atMs : std::min(this->beginsAtMs, event.atMs);
     this->endsAtMs = std::max(this->endsAtMs, event.atMs);
     if (event.name == "job-sent" && event.text("outcome") == "applied")
-        this->takeAccepted(event);
+        this->addAcceptedJob(event);
     else if (event.name == "job-refused")
-        this->takeRefused(event);
+        this->addRefusedJob(event);
     else if (event.name == "placed")
-        this->takePlaced(event);
+        this->addPlacement(event);
     else if (event.name == "runs-over")
-        this->takeEnds(event);
+        this->addRunEnds(event);
     else if (event.name == "job-over")
-        this->takeOver(event);
+        this->addJobEnd(event);
     else if (event.name == "loop-late")
-        this->lags.emplace_back(event.atMs - event.number("lagMs"), event.atMs);
+        this->loopLags.emplace_back(event.atMs - event.number("lagMs"), event.atMs);
     if (event.name == "leads" || event.name == "plan" || event.name == "placed")
-        this->takeLeader(event);
+        this->recordLeadership(event);
 }
 
-void Attribution::takeAccepted(const LogEvent &event)
+void Attribution::addAcceptedJob(const LogEvent &event)
 {
-    JobAccount &account = this->jobs[event.text("job")].account;
-    account.job = event.text("job");
-    account.queue = event.text("queue");
-    account.account = event.text("account");
-    account.acceptedAtMs = event.atMs;
-    account.objectiveMs = event.number("objectiveMs");
+    JobSummary &summary = this->jobs[event.text("job")].summary;
+    summary.job = event.text("job");
+    summary.queue = event.text("queue");
+    summary.account = event.text("account");
+    summary.acceptedAtMs = event.atMs;
+    summary.objectiveMs = event.number("objectiveMs");
 }
 
-void Attribution::takeRefused(const LogEvent &event)
+void Attribution::addRefusedJob(const LogEvent &event)
 {
-    JobAccount refused;
-    refused.job = event.text("path");
-    refused.fate = JobFate::Refused;
-    refused.acceptedAtMs = event.atMs;
-    this->refusals.push_back(refused);
+    JobSummary summary;
+    summary.job = event.text("path");
+    summary.fate = JobFate::Refused;
+    summary.acceptedAtMs = event.atMs;
+    this->refusals.push_back(summary);
 }
 
-/// "lives" names "index@life" for each task, "waitedMs" "cause:milliseconds".
-void Attribution::takePlaced(const LogEvent &event)
+/// "lives" lists "index@incarnation" for each task, "waitedMs" lists "cause:milliseconds".
+void Attribution::addPlacement(const LogEvent &event)
 {
     const auto [job, step] = splitStep(event.text("step"));
     Step &placed = this->jobs[job].steps[step];
     placed.estimatedMs = event.number("estimatedMs");
     const auto run = static_cast<std::uint32_t>(event.number("run"));
     for (const std::string &place : split(event.text("lives"), ','))
-        placed.tasks[numberIn(place)][run].placedAtMs = event.atMs;
+        placed.tasks[parseNumber(place)][run].placedAtMs = event.atMs;
     for (const std::string &wait : split(event.text("waitedMs"), ',')) {
         const std::size_t colon = wait.find(':');
         if (colon != std::string::npos)
-            placed.waitedMs[wait.substr(0, colon)] = numberIn(wait.substr(colon + 1));
+            placed.waitedMs[wait.substr(0, colon)] = parseNumber(wait.substr(colon + 1));
     }
 }
 
-/// "runs" names "job.occurrence.step.index#run=outcome" for each.
-void Attribution::takeEnds(const LogEvent &event)
+/// "runs" lists "job.occurrence.step.index#run=outcome".
+void Attribution::addRunEnds(const LogEvent &event)
 {
     for (const std::string &end : split(event.text("runs"), ',')) {
         const std::size_t hash = end.find('#');
@@ -135,36 +135,36 @@
         const std::string task = end.substr(0, hash);
         const std::size_t dot = task.rfind('.');
         const auto [job, step] = splitStep(task.substr(0, dot));
-        Run &run = this->jobs[job].steps[step].tasks[numberIn(task.substr(dot + 1))]
-                                                    [numberIn(end.substr(hash + 1))];
-        run.overAtMs = event.atMs;
+        Run &run = this->jobs[job].steps[step].tasks[parseNumber(task.substr(dot + 1))]
+                                                    [parseNumber(end.substr(hash + 1))];
+        run.endedAtMs = event.atMs;
         run.outcome = end.substr(equals + 1);
     }
 }
 
-void Attribution::takeOver(const LogEvent &event)
+void Attribution::addJobEnd(const LogEvent &event)
 {
     Job &job = this->jobs[event.text("job")];
     job.state = event.text("state");
-    job.account.tookMs = event.number("tookMs");
+    job.summary.tookMs = event.number("tookMs");
 }
 
-void Attribution::takeLeader(const LogEvent &event)
+void Attribution::recordLeadership(const LogEvent &event)
 {
-    const auto known = this->reignOf.find(event.process);
-    if (event.name == "leads" || known == this->reignOf.end()) {
-        this->reignOf[event.process] = this->reigns.size();
-        this->reigns.emplace_back(event.atMs, event.atMs);
+    const auto known = this->newestLeadership.find(event.process);
+    if (event.name == "leads" || known == this->newestLeadership.end()) {
+        this->newestLeadership[event.process] = this->leaderships.size();
+        this->leaderships.emplace_back(event.atMs, event.atMs);
         return;
     }
-    this->reigns[known->second].second = event.atMs;
+    this->leaderships[known->second].second = event.atMs;
 }
 
 std::vector<Span> Attribution::spansWithoutLeader() const
 {
-    // A controller plans at least every second when it has work.
-    constexpr std::int64_t usualSilenceMs = 1200;
-    std::vector<Span> led = this->reigns;
+    // A controller that has work plans at least once a second.
+    constexpr std::int64_t maxDecisionGapMs = 1200;
+    std::vector<Span> led = this->leaderships;
     std::sort(led.begin(), led.end());
     std::vector<Span> without;
     for (std::size_t i = 1; i < led.size(); ++i) {
@@ -172,18 +172,19 @@
         if (gap.second - gap.first > 0 && gap.second - gap.first < this->endsAtMs)
             without.push_back(gap);
     }
-    if (!led.empty() && this->endsAtMs - led.back().second > usualSilenceMs)
+    if (!led.empty() && this->endsAtMs - led.back().second > maxDecisionGapMs)
         without.emplace_back(led.back().second, this->endsAtMs);
     return without;
 }
 
-/// Adds what the step's runs lost to \a delays and returns what they took as estimated. Of its
-/// tasks, which run side by side, the one that was over last counts.
+/// Adds the time that the step's runs lost to \a delays and returns the time that they took within
+/// the caller's estimate. The tasks of a step run in parallel, so only the one that ended last
+/// counts.
 std::int64_t Attribution::addRuns(const Step &step, DelayTimes &delays) const
 {
     const std::map<std::uint32_t, Run> *last = nullptr;
     for (const auto &[index, runs] : step.tasks) {
-        if (last == nullptr || runs.rbegin()->second.overAtMs > last->rbegin()->second.overAtMs)
+        if (last == nullptr || runs.rbegin()->second.endedAtMs > last->rbegin()->second.endedAtMs)
             last = &runs;
     }
     if (last == nullptr)
@@ -191,9 +192,9 @@
     std::int64_t workMs = 0;
     for (const auto &[number, run] : *last) {
         if (run.placedAtMs == 0)
-            continue; // before the log began
-        const std::int64_t overAtMs = run.overAtMs == 0 ? this->endsAtMs : run.overAtMs;
-        const std::int64_t tookMs = overAtMs - run.placedAtMs;
+            continue; // placed before the log began
+        const std::int64_t endedAtMs = run.endedAtMs == 0 ? this->endsAtMs : run.endedAtMs;
+        const std::int64_t tookMs = endedAtMs - run.placedAtMs;
         if (const auto cause = enumFromName(causesOfOutcomes, run.outcome)) {
             timeOf(delays, *cause) += tookMs;
             continue;
@@ -206,32 +207,32 @@
     return workMs;
 }
 
-/// Steps wait one after the other, so their waits add up.
-JobAccount Attribution::accountOf(const Job &job, const std::vector<Span> &withoutLeader) const
+/// The steps of a job wait in sequence, so their waiting times add up.
+JobSummary Attribution::summarize(const Job &job, const std::vector<Span> &withoutLeader) const
 {
-    JobAccount account = job.account;
+    JobSummary summary = job.summary;
     if (job.state.empty())
-        account.tookMs = this->endsAtMs - account.acceptedAtMs;
-    account.fate = fateOf(job.state, account.tookMs, account.objectiveMs);
+        summary.tookMs = this->endsAtMs - summary.acceptedAtMs;
+    summary.fate = fateOf(job.state, summary.tookMs, summary.objectiveMs);
     std::int64_t workMs = 0;
     for (const auto &[name, step] : job.steps) {
         for (const auto &[cause, ms] : step.waitedMs) {
             if (const auto known = enumFromName(delayCauseNames, cause))
-                timeOf(account.delays, *known) += ms;
+                timeOf(summary.delays, *known) += ms;
         }
-        workMs += this->addRuns(step, account.delays);
+        workMs += this->addRuns(step, summary.delays);
     }
-    const Span life{account.acceptedAtMs, account.acceptedAtMs + account.tookMs};
-    timeOf(account.delays, DelayCause::NoLeader) = overlapOfAll(withoutLeader, life);
-    timeOf(account.delays, DelayCause::LeaderLag) = overlapOfAll(this->lags, life);
+    const Span lifetime{summary.acceptedAtMs, summary.acceptedAtMs + summary.tookMs};
+    timeOf(summary.delays, DelayCause::NoLeader) = totalOverlap(withoutLeader, lifetime);
+    timeOf(summary.delays, DelayCause::LeaderLag) = totalOverlap(this->loopLags, lifetime);
     std::int64_t known = workMs;
-    for (const std::int64_t ms : account.delays)
+    for (const std::int64_t ms : summary.delays)
         known += ms;
-    timeOf(account.delays, DelayCause::Unexplained) =
-        std::max<std::int64_t>(0, account.tookMs - known);
-    const auto longest = std::max_element(account.delays.begin(), account.delays.end());
-    account.cause = static_cast<DelayCause>(longest - account.delays.begin());
-    return account;
+    timeOf(summary.delays, DelayCause::Unexplained) =
+        std::max<std::int64_t>(0, summary.tookMs - known);
+    const auto longest = std::max_element(summary.delays.begin(), summary.delays.end());
+    summary.cause = static_cast<DelayCause>(longest - summary.delays.begin());
+    return summary;
 }
 
 Findings Attribution::findings() const
@@ -241,13 +242,13 @@
     found.endsAtMs = this->endsAtMs;
     found.withoutLeader = this->spansWithoutLeader();
     for (const auto &[id, job] : this->jobs) {
-        if (job.account.acceptedAtMs != 0)
-            found.jobs.push_back(this->accountOf(job, found.withoutLeader));
+        if (job.summary.acceptedAtMs != 0)
+            found.jobs.push_back(this->summarize(job, found.withoutLeader));
     }
     found.jobs.insert(found.jobs.end(), this->refusals.begin(), this->refusals.end());
     std::stable_sort(
         found.jobs.begin(), found.jobs.end(),
-        [](const JobAccount &a, const JobAccount &b) { return a.acceptedAtMs < b.acceptedAtMs; });
+        [](const JobSummary &a, const JobSummary &b) { return a.acceptedAtMs < b.acceptedAtMs; });
     return found;
 }
 
--- a/src/attribution/attribution.h
+++ b/src/attribution/attribution.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "attribution/jobaccount.h"
+#include "attribution/jobsummary.h"
 #include "attribution/logevent.h"
 
 #include <cstdint>
@@ -11,62 +11,62 @@
 
 namespace guavavalve::attribution {
 
-/// A span of calendar time, in milliseconds.
+/// A period of calendar time: its start and end, in milliseconds.
 using Span = std::pair<std::int64_t, std::int64_t>;
 
-/// What one reading of the logs has found.
+/// The result of an analysis of the logs.
 struct Findings
 {
-    std::vector<JobAccount> jobs; ///< in the order of acceptance
-    std::vector<Span> withoutLeader;
-    std::int64_t beginsAtMs = 0; ///< of the log
-    std::int64_t endsAtMs = 0;
+    std::vector<JobSummary> jobs; ///< ordered by acceptance time
+    std::vector<Span> withoutLeader; ///< periods in which no controller made decisions
+    std::int64_t beginsAtMs = 0; ///< calendar time of the first log event
+    std::int64_t endsAtMs = 0; ///< calendar time of the last log event
 };
 
-/// Puts the time of each job down to causes, from the log lines of all processes. Lines may come in
-/// any order of processes, each process's in the order of time.
+/// Attributes the time that each job took to causes, based on the log events of all processes.
+/// Events of different processes may be interleaved arbitrarily; those of one process must be added
+/// in chronological order.
 class Attribution
 {
 public:
-    void take(const LogEvent &event);
+    void addEvent(const LogEvent &event);
     Findings findings() const;
 
 private:
-    /// One run of one task.
     struct Run
     {
         std::int64_t placedAtMs = 0;
-        std::int64_t overAtMs = 0; ///< 0: it is not over
+        std::int64_t endedAtMs = 0; ///< 0: it has not ended
         std::string outcome;
     };
     struct Step
     {
         std::map<std::uint32_t, std::map<std::uint32_t, Run>> tasks; ///< by index, then run number
-        std::map<std::string, std::int64_t> waitedMs; ///< by name, as last told
-        std::int64_t estimatedMs = 0; ///< of a task, by the caller
+        std::map<std::string, std::int64_t> waitedMs; ///< by the name of the cause, as last logged
+        std::int64_t estimatedMs = 0; ///< run time of a task, as estimated by the caller
     };
     struct Job
     {
-        JobAccount account;
+        JobSummary summary;
         std::string state;
-        std::map<std::string, Step> steps; ///< by occurrence and step
+        std::map<std::string, Step> steps; ///< by "occurrence.step"
     };
 
-    void takeAccepted(const LogEvent &event);
-    void takeRefused(const LogEvent &event);
-    void takePlaced(const LogEvent &event);
-    void takeOver(const LogEvent &event);
-    void takeEnds(const LogEvent &event);
-    void takeLeader(const LogEvent &event);
+    void addAcceptedJob(const LogEvent &event);
+    void addRefusedJob(const LogEvent &event);
+    void addPlacement(const LogEvent &event);
+    void addJobEnd(const LogEvent &event);
+    void addRunEnds(const LogEvent &event);
+    void recordLeadership(const LogEvent &event);
     std::int64_t addRuns(const Step &step, DelayTimes &delays) const;
-    JobAccount accountOf(const Job &job, const std::vector<Span> &withoutLeader) const;
+    JobSummary summarize(const Job &job, const std::vector<Span> &withoutLeader) const;
     std::vector<Span> spansWithoutLeader() const;
 
     std::map<std::string, Job> jobs;
-    std::vector<JobAccount> refusals;
-    std::vector<Span> lags; ///< of the controller's loop
-    std::vector<Span> reigns; ///< from "leads" to the last decision of that process
-    std::map<std::string, std::size_t> reignOf; ///< by process, its newest
+    std::vector<JobSummary> refusals;
+    std::vector<Span> loopLags; ///< periods in which the controller's loop ran late
+    std::vector<Span> leaderships; ///< each from "leads" to the last decision of the process
+    std::map<std::string, std::size_t> newestLeadership; ///< index into leaderships, by process
     std::int64_t beginsAtMs = 0;
     std::int64_t endsAtMs = 0;
 };
--- a/src/attribution/delaycause.h
+++ b/src/attribution/delaycause.h
@@ -8,21 +8,21 @@
 
 namespace guavavalve::attribution {
 
-/// What a job's time went to, beside its own work.
+/// Why a job took longer than its own work.
 enum class DelayCause : std::uint8_t {
-    NoLeader, ///< no controller decided
+    NoLeader, ///< no controller made decisions
     LeaderLag, ///< the controller's loop ran late
-    Asker, ///< no instance was free to put a question to the admission service
-    Admission, ///< the admission service had not answered
-    Room, ///< no room on the targets that may run it
+    Querier, ///< no instance was free to query the admission service
+    Admission, ///< the admission service had not answered yet
+    Room, ///< no target that may run it had room
     Limit, ///< the client account was at its upper limit
     TargetFailed, ///< a run ended as failed
-    TargetLost, ///< a target was cut off, crashed or left with a run
-    TargetSilent, ///< a target did not take a start, or refused it
-    GangBroken, ///< another member of the gang ended, or did not come
-    Moved, ///< stopped, to be begun elsewhere
-    SlowRun, ///< it ran for longer than its caller had estimated
-    Unexplained,
+    TargetLost, ///< a target was disconnected, crashed or left the fleet during a run
+    TargetSilent, ///< a target did not start a run, or refused it
+    GangBroken, ///< another member of the gang ended or did not start
+    Moved, ///< a run was stopped and restarted on another target
+    SlowRun, ///< a run took longer than its caller had estimated
+    Unexplained, ///< time for which the logs show no cause
 };
 
 inline constexpr std::size_t delayCauseCount = 13;
@@ -30,7 +30,7 @@
 inline constexpr EnumNames<DelayCause, delayCauseCount> delayCauseNames{{
     {DelayCause::NoLeader, "no-leader"},
     {DelayCause::LeaderLag, "leader-lag"},
-    {DelayCause::Asker, "asker"},
+    {DelayCause::Querier, "asker"},
     {DelayCause::Admission, "admission"},
     {DelayCause::Room, "room"},
     {DelayCause::Limit, "limit"},
@@ -43,7 +43,7 @@
     {DelayCause::Unexplained, "unexplained"},
 }};
 
-/// Milliseconds by cause.
+/// Milliseconds, indexed by DelayCause.
 using DelayTimes = std::array<std::int64_t, delayCauseCount>;
 
 inline std::int64_t &timeOf(DelayTimes &times, DelayCause cause)
--- a/src/attribution/logevent.cpp
+++ b/src/attribution/logevent.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t msPerSecond = 1000;
 
-/// "2026-01-02T03:04:05.123456+0000" as milliseconds of calendar time; zero: cannot be read.
+/// "2026-01-02T03:04:05.123456+0000" as milliseconds of calendar time; zero if it cannot be parsed.
 std::int64_t readTime(const std::string &text)
 {
     std::tm parts{};
@@ -29,13 +29,14 @@
         + static_cast<std::int64_t>(fraction * static_cast<double>(msPerSecond));
 }
 
-std::string readProcess(const std::string &before)
+/// The last word of \a prefix, without the separator that follows it.
+std::string readProcess(const std::string &prefix)
 {
-    const std::size_t end = before.find_last_not_of(" \t:|");
+    const std::size_t end = prefix.find_last_not_of(" \t:|");
     if (end == std::string::npos)
         return {};
-    const std::size_t begin = before.find_last_of(" \t", end);
-    return before.substr(begin == std::string::npos ? 0 : begin + 1,
+    const std::size_t begin = prefix.find_last_of(" \t", end);
+    return prefix.substr(begin == std::string::npos ? 0 : begin + 1,
                          end - (begin == std::string::npos ? -1 : begin));
 }
 
--- a/src/attribution/logevent.h
+++ b/src/attribution/logevent.h
@@ -7,21 +7,22 @@
 
 namespace guavavalve::attribution {
 
-/// One line of a process's structured log.
+/// One event from a process's structured log.
 struct LogEvent
 {
     std::int64_t atMs = 0; ///< calendar time
-    std::string process; ///< what stands before the line, if lines of several are in one file
+    std::string process; ///< from the line's prefix, in a file with lines of several processes
     std::string name;
     std::map<std::string, std::string> fields;
 
+    /// The value of \a field; empty if there is none.
     std::string text(const std::string &field) const;
-    /// Zero if there is none or it is no number.
+    /// The value of \a field as a number; zero if there is none or it is not a number.
     std::int64_t number(const std::string &field) const;
 };
 
-/// Reads one line; nothing if it is no event of ours. Text before the line's first brace tells the
-/// process.
+/// Parses one log line; nullopt if it is not an event. The last word before the first brace is the
+/// name of the process.
 std::optional<LogEvent> parseLogLine(const std::string &line);
 
 } // namespace guavavalve::attribution
--- a/src/attribution/report.cpp
+++ b/src/attribution/report.cpp
@@ -26,7 +26,7 @@
     return named;
 }
 
-json describe(const JobAccount &job)
+json describe(const JobSummary &job)
 {
     return {{"job", job.job},
             {"queue", job.queue},
@@ -60,7 +60,7 @@
     return text.size() < width ? text + std::string(width - text.size(), ' ') : text + " ";
 }
 
-std::string colorOf(std::size_t cause)
+std::string causeColor(std::size_t cause)
 {
     static const std::array<const char *, delayCauseCount> colors{
         "#222222", "#7b3294", "#b2abd2", "#4575b4", "#d73027", "#fdae61", "#a50026",
@@ -68,11 +68,11 @@
     return colors[cause];
 }
 
-/// A picture as wide as the log is long.
-class TimeLine
+/// Maps calendar time to the horizontal axis of a chart that spans the whole log.
+class TimeAxis
 {
 public:
-    TimeLine(std::int64_t beginsAtMs, std::int64_t endsAtMs)
+    TimeAxis(std::int64_t beginsAtMs, std::int64_t endsAtMs)
         : beginsAtMs(beginsAtMs)
         , lengthMs(std::max<std::int64_t>(1, endsAtMs - beginsAtMs))
     {}
@@ -115,24 +115,24 @@
 void drawJobs(std::ostringstream &out, const Findings &findings)
 {
     constexpr double rowHeight = 3.0;
-    std::vector<const JobAccount *> delayed;
-    for (const JobAccount &job : findings.jobs) {
+    std::vector<const JobSummary *> delayed;
+    for (const JobSummary &job : findings.jobs) {
         if (isDelayed(job))
             delayed.push_back(&job);
     }
-    const TimeLine line(findings.beginsAtMs, findings.endsAtMs);
+    const TimeAxis axis(findings.beginsAtMs, findings.endsAtMs);
     const double height = rowHeight * static_cast<double>(delayed.size()) + rowHeight;
-    out << "<svg viewBox='0 0 " << TimeLine::width << ' ' << height
+    out << "<svg viewBox='0 0 " << TimeAxis::width << ' ' << height
         << "' width='100%' preserveAspectRatio='none'>\n";
     for (const Span &span : findings.withoutLeader)
-        drawRect(out, line.x(span.first), 0, line.x(span.second) - line.x(span.first), height,
+        drawRect(out, axis.x(span.first), 0, axis.x(span.second) - axis.x(span.first), height,
                  "#f4d9d9", "no leader");
     for (std::size_t i = 0; i < delayed.size(); ++i) {
-        const JobAccount &job = *delayed[i];
+        const JobSummary &job = *delayed[i];
         const std::string cause(enumName(delayCauseNames, job.cause));
-        drawRect(out, line.x(job.acceptedAtMs), rowHeight * static_cast<double>(i),
-                 line.x(job.acceptedAtMs + job.tookMs) - line.x(job.acceptedAtMs), rowHeight - 1,
-                 colorOf(static_cast<std::size_t>(job.cause)),
+        drawRect(out, axis.x(job.acceptedAtMs), rowHeight * static_cast<double>(i),
+                 axis.x(job.acceptedAtMs + job.tookMs) - axis.x(job.acceptedAtMs), rowHeight - 1,
+                 causeColor(static_cast<std::size_t>(job.cause)),
                  escaped(job.job + " " + job.queue + ": " + cause));
     }
     out << "</svg>\n";
@@ -146,14 +146,14 @@
         sum += static_cast<double>(ms);
     out << "<h3>" << escaped(queue.empty() ? "refused" : queue) << ": " << totals.jobs
         << " jobs, delays of " << sum / msPerSecond << " s</h3>\n<svg viewBox='0 0 "
-        << TimeLine::width << ' ' << height << "' width='100%'>\n";
+        << TimeAxis::width << ' ' << height << "' width='100%'>\n";
     double x = 0;
     for (const auto &[cause, name] : delayCauseNames) {
         const auto i = static_cast<std::size_t>(cause);
         const double width =
-            sum > 0 ? TimeLine::width * static_cast<double>(totals.delays[i]) / sum : 0;
+            sum > 0 ? TimeAxis::width * static_cast<double>(totals.delays[i]) / sum : 0;
         if (width > 0)
-            drawRect(out, x, 0, width, height, colorOf(i),
+            drawRect(out, x, 0, width, height, causeColor(i),
                      std::string(name) + " " + std::to_string(totals.delays[i]) + " ms");
         x += width;
     }
@@ -164,7 +164,7 @@
 {
     out << "<p>";
     for (const auto &[cause, name] : delayCauseNames) {
-        out << "<span style='background:" << colorOf(static_cast<std::size_t>(cause))
+        out << "<span style='background:" << causeColor(static_cast<std::size_t>(cause))
             << ";display:inline-block;width:1em;height:1em'></span> " << name << " &nbsp; ";
     }
     out << "</p>\n";
@@ -196,8 +196,9 @@
     }
     for (const Span &span : findings.withoutLeader) {
         out << "no leader for " << static_cast<double>(span.second - span.first) / msPerSecond
-            << " s from " << static_cast<double>(span.first - findings.beginsAtMs) / msPerSecond
-            << " s on\n";
+            << " s, starting "
+            << static_cast<double>(span.first - findings.beginsAtMs) / msPerSecond
+            << " s after the start of the log\n";
     }
     return out.str();
 }
@@ -206,7 +207,7 @@
 {
     constexpr int indent = 2;
     json jobs = json::array();
-    for (const JobAccount &job : findings.jobs) {
+    for (const JobSummary &job : findings.jobs) {
         if (isDelayed(job))
             jobs.push_back(describe(job));
     }
@@ -223,18 +224,17 @@
         + "\n";
 }
 
-std::string asPage(const Findings &findings)
+std::string asHtml(const Findings &findings)
 {
     std::ostringstream out;
     out << "<!doctype html><html><head><meta charset='utf-8'><title>Delayed jobs</title>"
            "<style>body{font-family:sans-serif;margin:2em;max-width:1100px}svg{border:1px solid "
            "#ccc}</style></head><body>\n<h1>Delayed jobs</h1>\n";
     drawLegend(out);
-    out << "<h2>Time line</h2><p>Each bar is a job that was late or never done, from its "
-           "acceptance "
-           "to its end, in the colour of its main cause. Shaded: no leader. "
+    out << "<h2>Timeline</h2><p>Each bar is a job that was late or never done, from its "
+           "acceptance to its end, in the colour of its main cause. Shaded: no leader. "
         << static_cast<double>(findings.endsAtMs - findings.beginsAtMs) / msPerSecond
-        << " s in all.</p>\n";
+        << " s in total.</p>\n";
     drawJobs(out, findings);
     out << "<h2>Where the time went</h2>\n";
     for (const auto &[queue, totals] : totalsOf(findings))
--- a/src/attribution/report.h
+++ b/src/attribution/report.h
@@ -6,14 +6,14 @@
 
 namespace guavavalve::attribution {
 
-/// Jobs by queue and fate, and what the delayed ones waited for, as text for a terminal.
+/// The number of jobs by queue and fate, and the causes of the delays, as text for a terminal.
 std::string asTable(const Findings &findings);
 
-/// Every job that was late, refused or never done, and totals, as JSON.
+/// Every job that was late, refused or never done, and the totals by queue, as JSON.
 std::string asJson(const Findings &findings);
 
-/// The same as a page that needs nothing else: delayed jobs over time against the spans without a
-/// leader, and what each queue's delays went to.
-std::string asPage(const Findings &findings);
+/// A self-contained HTML page that plots the delayed jobs and the periods without a leader over
+/// time, and shows the causes of each queue's delays.
+std::string asHtml(const Findings &findings);
 
 } // namespace guavavalve::attribution
--- a/src/attribution/totals.cpp
+++ b/src/attribution/totals.cpp
@@ -2,7 +2,7 @@
 
 namespace guavavalve::attribution {
 
-bool isDelayed(const JobAccount &job)
+bool isDelayed(const JobSummary &job)
 {
     return job.fate == JobFate::Late || job.fate == JobFate::NeverDone
         || job.fate == JobFate::Refused;
@@ -11,7 +11,7 @@
 std::map<std::string, QueueTotals> totalsOf(const Findings &findings)
 {
     std::map<std::string, QueueTotals> totals;
-    for (const JobAccount &job : findings.jobs) {
+    for (const JobSummary &job : findings.jobs) {
         QueueTotals &queue = totals[job.queue];
         ++queue.jobs;
         ++queue.byFate[static_cast<std::size_t>(job.fate)];
--- a/src/attribution/totals.h
+++ b/src/attribution/totals.h
@@ -11,19 +11,19 @@
 
 inline constexpr std::size_t jobFateCount = jobFateNames.size();
 
-/// What became of the jobs of one queue, and where the time of its delayed ones went.
+/// The jobs of one queue by fate, and the causes of their delays.
 struct QueueTotals
 {
     std::size_t jobs = 0;
     std::array<std::size_t, jobFateCount> byFate{};
-    std::array<std::size_t, delayCauseCount> byCause{}; ///< delayed jobs by their main cause
-    DelayTimes delays{}; ///< of delayed jobs
+    std::array<std::size_t, delayCauseCount> byCause{}; ///< number of delayed jobs by main cause
+    DelayTimes delays{}; ///< summed over the delayed jobs
 };
 
-/// It was late, refused or never done.
-bool isDelayed(const JobAccount &job);
+/// Whether \a job was late, refused or never done.
+bool isDelayed(const JobSummary &job);
 
-/// By queue; refused jobs, whose queue is not told, under "".
+/// The totals by queue; refused jobs, whose queue is not logged, are listed under "".
 std::map<std::string, QueueTotals> totalsOf(const Findings &findings);
 
 } // namespace guavavalve::attribution
--- a/src/tool/cellcommands.cpp
+++ b/src/tool/cellcommands.cpp
@@ -38,24 +38,24 @@
                               {"OF", "/total/slots"}});
 }
 
-ExitCode drainOrOpen(const ToolContext &context, const std::string &target, bool drain)
+ExitCode setDraining(const ToolContext &context, const std::string &target, bool drain)
 {
     const json body{{"target", target}, {"drain", drain}};
     return context.show(jsonRequest("POST", "/v1/operators/targets/drain", body),
-                        [&](const json &answer) {
-                            context.print(target + " is " + formatCell(answer["state"]) + " with "
-                                          + formatCell(answer["tasks"]) + " tasks on it\n");
+                        [&](const json &response) {
+                            context.print(target + " is " + formatCell(response["state"]) + " with "
+                                          + formatCell(response["tasks"]) + " tasks on it\n");
                         });
 }
 
 ExitCode drain(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    return drainOrOpen(context, arguments[0], true);
+    return setDraining(context, arguments[0], true);
 }
 
 ExitCode undrain(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    return drainOrOpen(context, arguments[0], false);
+    return setDraining(context, arguments[0], false);
 }
 
 ExitCode listDomains(const ToolContext &context, const std::vector<std::string> &)
@@ -67,25 +67,25 @@
                               {"TASKS", "/tasks"}});
 }
 
-ExitCode evacuateOrOpen(const ToolContext &context, const std::string &domain, bool evacuate)
+ExitCode setEvacuating(const ToolContext &context, const std::string &domain, bool evacuate)
 {
     const json body{{"failureDomain", domain}, {"evacuate", evacuate}};
     return context.show(jsonRequest("POST", "/v1/operators/domains/evacuate", body),
-                        [&](const json &answer) {
-                            context.print(domain + " is " + formatCell(answer["state"]) + " with "
-                                          + formatCell(answer["tasks"]) + " tasks on "
-                                          + formatCell(answer["targets"]) + " targets\n");
+                        [&](const json &response) {
+                            context.print(domain + " is " + formatCell(response["state"]) + " with "
+                                          + formatCell(response["tasks"]) + " tasks on "
+                                          + formatCell(response["targets"]) + " targets\n");
                         });
 }
 
 ExitCode evacuate(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    return evacuateOrOpen(context, arguments[0], true);
+    return setEvacuating(context, arguments[0], true);
 }
 
 ExitCode openDomain(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    return evacuateOrOpen(context, arguments[0], false);
+    return setEvacuating(context, arguments[0], false);
 }
 
 std::string joined(const json &names)
@@ -118,7 +118,7 @@
                               replicas["members"]));
     context.print("\n" + formatTable(teamColumns(), status["teams"]));
     if (status["waiting"].empty()) {
-        context.print("\nnothing waits\n");
+        context.print("\nno tasks are waiting\n");
         return;
     }
     context.print(
@@ -131,7 +131,7 @@
 ExitCode status(const ToolContext &context, const std::vector<std::string> &)
 {
     return context.show(getRequest("/v1/operators/status"),
-                        [&](const json &answer) { printStatus(context, answer); });
+                        [&](const json &response) { printStatus(context, response); });
 }
 
 } // namespace
@@ -143,38 +143,38 @@
          "",
          0,
          0,
-         "The whole cell at a glance: who leads, who lags, what waits and why.",
+         "Shows the leader, instances with an old configuration, targets, teams and waiting tasks.",
          {},
          status},
-        {"teams", "", 0, 0, "Lists the teams with their shares and what they use.", {}, teams},
+        {"teams", "", 0, 0, "Lists the teams with their shares and usage.", {}, teams},
         {"targets list", "", 0, 0, "Lists the targets and their states.", {}, listTargets},
         {"targets drain",
          "TARGET",
          1,
          1,
-         "Closes a target to new work; what runs there goes on.",
+         "Stops placing new tasks on a target; running ones continue.",
          {},
          drain},
-        {"targets undrain", "TARGET", 1, 1, "Opens a drained target again.", {}, undrain},
+        {"targets undrain", "TARGET", 1, 1, "Reopens a drained target for new tasks.", {}, undrain},
         {"domains list",
          "",
          0,
          0,
-         "Lists the failure domains with their targets and what is on them.",
+         "Lists the failure domains with their states, targets and tasks.",
          {},
          listDomains},
         {"domains evacuate",
          "DOMAIN",
          1,
          1,
-         "Closes all targets of a failure domain to new work; what runs there goes on.",
+         "Stops placing new tasks on the targets of a failure domain; running ones continue.",
          {},
          evacuate},
         {"domains open",
          "DOMAIN",
          1,
          1,
-         "Opens an evacuated failure domain again.",
+         "Reopens an evacuated failure domain for new tasks.",
          {},
          openDomain},
     };
--- a/src/tool/configurationcommands.cpp
+++ b/src/tool/configurationcommands.cpp
@@ -42,32 +42,34 @@
     json list = json::array();
     for (const SectionFile &draft : drafts)
         list.push_back({{"name", draft.name}, {"content", draft.content}});
-    return context.ask(jsonRequest("POST", std::string(base) + "/check", {{"drafts", list}}));
+    return context.requestJson(
+        jsonRequest("POST", std::string(base) + "/check", {{"drafts", list}}));
 }
 
 void printCheck(const ToolContext &context, const json &check, bool withDifferences)
 {
     if (withDifferences && check["differences"].empty())
-        context.print("nothing would change\n");
+        context.print("no changes\n");
     else if (withDifferences)
         context.print(formatTable({{"FIELD", "/path"}, {"BEFORE", "/before"}, {"AFTER", "/after"}},
                                   check["differences"]));
     for (const json &problem : check["problems"])
         context.print(formatCell(problem["path"]) + ": " + formatCell(problem["message"]) + "\n");
     const bool acceptable = check["acceptable"];
-    context.print(acceptable ? "acceptable as things stand\n" : "would be refused\n");
+    context.print(acceptable ? "acceptable with the current configuration\n"
+                             : "would be refused\n");
 }
 
 ExitCode checkOrPreview(const ToolContext &context, const std::vector<std::string> &arguments,
                         bool withDifferences)
 {
     if (arguments.size() > 1 && arguments.size() % 2 != 0)
-        return context.usage("give one DOCUMENT, or pairs of SECTION FILE");
+        return context.usageError("expected one DOCUMENT, or pairs of SECTION FILE");
     const Result<json> check = checkDrafts(context, arguments);
     if (!check)
         return context.fail(check.error());
     constexpr int indent = 2;
-    if (context.forPrograms())
+    if (context.printsJson())
         context.print(check.value().dump(indent) + "\n");
     else
         printCheck(context, check.value(), withDifferences);
@@ -84,14 +86,15 @@
     return checkOrPreview(context, arguments, true);
 }
 
-/// The version that a write replaces: as given, or as it is now.
+/// The version that a write replaces: --base-version, or the current one; 0 if the section does not
+/// exist.
 Result<std::int64_t> baseVersion(const ToolContext &context, const std::string &section)
 {
     const std::int64_t given = absl::GetFlag(FLAGS_base_version);
     if (given >= 0)
         return given;
     const Result<json> document =
-        context.ask(getRequest(std::string(base) + "?section=" + encodeForQuery(section)));
+        context.requestJson(getRequest(std::string(base) + "?section=" + encodeForQuery(section)));
     if (!document) {
         if (document.error().code == ErrorCode::NotFound)
             return 0;
@@ -100,7 +103,7 @@
     return document.value()["sections"][0]["version"].get<std::int64_t>();
 }
 
-/// Writes one section. \a identity is the request's.
+/// Writes one section. \a identity is that of the request.
 Result<json> writeSection(const ToolContext &context, const SectionFile &draft,
                           const std::string &identity)
 {
@@ -110,12 +113,12 @@
     request.path = std::string(base) + "/sections/" + encodeForQuery(draft.name)
         + "?baseVersion=" + std::to_string(replaced) + "&requestId=" + encodeForQuery(identity);
     request.body = draft.content;
-    return context.ask(request);
+    return context.requestJson(request);
 }
 
 void printWritten(const ToolContext &context, const std::string &section, const json &written)
 {
-    if (context.forPrograms())
+    if (context.printsJson())
         context.print(written.dump() + "\n");
     else
         context.print(section + " is now version " + formatCell(written["version"])
@@ -132,15 +135,15 @@
     if (!written)
         return context.fail(written.error());
     printWritten(context, draft.name, written.value());
-    return thenWait(context, ExitCode::Done);
+    return waitUntilInForce(context, ExitCode::Done);
 }
 
-/// Whether \a draft says what is in force already.
+/// Whether \a draft equals the stored section.
 Result<bool> isInForce(const ToolContext &context, const SectionFile &draft)
 {
     const json question{{"drafts", {{{"name", draft.name}, {"content", draft.content}}}}};
-    BOOST_OUTCOME_TRY(check,
-                      context.ask(jsonRequest("POST", std::string(base) + "/check", question)));
+    BOOST_OUTCOME_TRY(
+        check, context.requestJson(jsonRequest("POST", std::string(base) + "/check", question)));
     return check["acceptable"].get<bool>() && check["differences"].empty();
 }
 
@@ -158,15 +161,16 @@
             continue;
         const Result<json> written = writeSection(context, draft, requestId() + "/" + draft.name);
         if (!written) {
-            context.note("stopped at section " + draft.name + "; those before it are written");
+            context.note("stopped at section " + draft.name
+                         + "; the sections before it were written");
             return context.fail(written.error());
         }
         printWritten(context, draft.name, written.value());
         changed = true;
     }
     if (!changed)
-        context.note("nothing to change: the document is in force as it stands");
-    return thenWait(context, ExitCode::Done);
+        context.note("no changes: the stored configuration already matches the document");
+    return waitUntilInForce(context, ExitCode::Done);
 }
 
 ExitCode history(const ToolContext &context, const std::vector<std::string> &arguments)
@@ -179,13 +183,14 @@
 
 ExitCode inForce(const ToolContext &context, const std::vector<std::string> &)
 {
-    return context.show(getRequest(std::string(base) + "/in-force"), [&](const json &answer) {
-        const bool everywhere = answer["everywhere"];
-        context.print("document version " + formatCell(answer["version"])
-                      + (everywhere ? " is in force everywhere\n" : " is not everywhere yet\n"));
+    return context.show(getRequest(std::string(base) + "/in-force"), [&](const json &response) {
+        const bool everywhere = response["everywhere"];
+        context.print("document version " + formatCell(response["version"])
+                      + (everywhere ? " is in force everywhere\n"
+                                    : " is not yet in force on every instance\n"));
         context.print(formatTable(
             {{"INSTANCE", "/instance"}, {"VERSION", "/version"}, {"ACCEPTS WORK", "/leased"}},
-            answer["instances"]));
+            response["instances"]));
     });
 }
 
@@ -193,20 +198,20 @@
 
 std::vector<ToolCommand> configurationCommands()
 {
-    constexpr std::size_t many = 4000;
+    constexpr std::size_t maxArguments = 4000;
     return {
         {"config show", "[SECTION]", 0, 1, "Shows the document, or one section of it.", {}, show},
         {"config check",
          "DOCUMENT | SECTION FILE [...]",
          1,
-         many,
+         maxArguments,
          "Checks drafts together with the rest of the document. Changes nothing.",
          {},
          check},
         {"config preview",
          "DOCUMENT | SECTION FILE [...]",
          1,
-         many,
+         maxArguments,
          "Shows each field that the drafts would change. Changes nothing.",
          {},
          preview},
@@ -214,22 +219,28 @@
          "SECTION FILE",
          2,
          2,
-         "Replaces a section; refused if somebody changed it meanwhile.",
+         "Replaces a section; refused if it was changed in the meantime.",
          {"base_version", "request_id", "wait"},
          set},
         {"config apply",
          "DOCUMENT",
          1,
          1,
-         "Writes each section of a document that differs, one after the other.",
+         "Writes the sections of a document that differ, one after the other.",
          {"request_id", "wait"},
          apply},
-        {"config history", "SECTION", 1, 1, "Lists the versions that are kept.", {}, history},
+        {"config history",
+         "SECTION",
+         1,
+         1,
+         "Lists the retained versions of a section.",
+         {},
+         history},
         {"config in-force",
          "",
          0,
          0,
-         "Shows which instances have the newest version in force.",
+         "Shows on which instances the newest version is in force.",
          {},
          inForce},
     };
--- a/src/tool/delayscommand.cpp
+++ b/src/tool/delayscommand.cpp
@@ -20,7 +20,7 @@
         return failure(ErrorCode::InvalidArgument, "cannot read " + path);
     for (std::string line; std::getline(file, line);) {
         if (const auto event = attribution::parseLogLine(line))
-            into.take(*event);
+            into.addEvent(*event);
     }
     return boost::outcome_v2::success();
 }
@@ -28,7 +28,7 @@
 Result<void> writePage(const std::string &path, const attribution::Findings &findings)
 {
     std::ofstream file(path, std::ios::trunc);
-    file << attribution::asPage(findings);
+    file << attribution::asHtml(findings);
     file.close();
     if (!file)
         return failure(ErrorCode::WriteRefused, "cannot write " + path);
@@ -47,24 +47,25 @@
         if (const auto written = writePage(page, findings); !written)
             return context.fail(written.error());
     }
-    context.print(context.forPrograms() ? attribution::asJson(findings)
-                                        : attribution::asTable(findings));
+    context.print(context.printsJson() ? attribution::asJson(findings)
+                                       : attribution::asTable(findings));
     return ExitCode::Done;
 }
 
 } // namespace
 
-std::vector<ToolCommand> logCommands()
+std::vector<ToolCommand> delayCommands()
 {
-    constexpr std::size_t many = 1000;
-    return {{"delays",
-             "LOG ...",
-             1,
-             many,
-             "Puts each job that was late, refused or never done down to a cause, from the logs of "
-             "all processes. Needs no server.",
-             {"page"},
-             delays}};
+    constexpr std::size_t maxFiles = 1000;
+    return {
+        {"delays",
+         "LOG ...",
+         1,
+         maxFiles,
+         "Attributes each job that was late, refused or never done to a cause, based on the logs "
+         "of all processes. Needs no server.",
+         {"page"},
+         delays}};
 }
 
 } // namespace guavavalve
--- a/src/tool/exitcode.h
+++ b/src/tool/exitcode.h
@@ -5,7 +5,7 @@
 
 namespace guavavalve {
 
-/// What the tool's process ends with. Scripts rely on the numbers.
+/// The exit status of the tool's process. Scripts rely on the numbers.
 enum class ExitCode : std::uint8_t {
     Done = 0,
     Usage = 2,
@@ -17,16 +17,17 @@
 };
 
 inline constexpr EnumNames<ExitCode, 7> exitCodeMeanings{{
-    {ExitCode::Done, "done as asked"},
-    {ExitCode::Usage, "the command line is wrong; nothing was sent"},
-    {ExitCode::Refused, "refused, and nothing was changed or run: mend the request or the key"},
-    {ExitCode::Conflict, "somebody else was first: look at what is there, then ask again"},
-    {ExitCode::Unavailable, "nobody could answer, and nothing was changed or run: ask again"},
-    {ExitCode::Unknown, "it may have been carried out: send the same request identity again"},
-    {ExitCode::Failed, "it ran and failed"},
+    {ExitCode::Done, "success"},
+    {ExitCode::Usage, "invalid command line; no request was sent"},
+    {ExitCode::Refused, "refused; nothing was changed or run: correct the request or the key"},
+    {ExitCode::Conflict, "conflict with a concurrent change: check the current state, then retry"},
+    {ExitCode::Unavailable, "no server could answer; nothing was changed or run: retry"},
+    {ExitCode::Unknown,
+     "the request may have been carried out: retry with the same request identity"},
+    {ExitCode::Failed, "ran and failed"},
 }};
 
-/// The code that stands for \a error.
+/// The exit code that reports \a error.
 ExitCode exitCodeOf(const Error &error);
 
 } // namespace guavavalve
--- a/src/tool/files.h
+++ b/src/tool/files.h
@@ -6,7 +6,7 @@
 
 namespace guavavalve {
 
-/// The whole of file \a path; "-" is the standard input.
+/// The content of the file \a path; "-" reads the standard input.
 /// \errors InvalidArgument if it cannot be read or is larger than 64 MB.
 Result<std::string> readFile(const std::string &path);
 
--- a/src/tool/help.cpp
+++ b/src/tool/help.cpp
@@ -67,7 +67,7 @@
     for (const ToolCommand &command : toolCommands())
         all.push_back(&command);
     return "guavavalve COMMAND [ARGUMENT ...] [--FLAG=VALUE ...]\n\nCommands:\n" + commandList(all)
-        + "  help [COMMAND]       Shows this, or the help of a command.\n"
+        + "  help [COMMAND]       Shows this help, or that of a command.\n"
           "  help metrics         Prints the table of metrics.\n"
           "\nFlags of every command:\n"
         + flagList(generalFlags()) + "\n" + exitCodeList();
@@ -84,7 +84,7 @@
 {
     if (words == std::vector<std::string>{"metrics"})
         return metricsReference();
-    // The longest run of words that names a command, or the beginning of some.
+    // Finds the longest sequence of leading words that names a command or begins some.
     for (std::size_t count = words.size(); count > 0; --count) {
         const std::string name = join({words.begin(), words.begin() + static_cast<long>(count)});
         std::vector<const ToolCommand *> below;
--- a/src/tool/help.h
+++ b/src/tool/help.h
@@ -7,14 +7,14 @@
 
 namespace guavavalve {
 
-/// The tool's own help: every command, the general flags, the exit codes.
+/// Lists every command, the general flags and the exit codes.
 std::string generalHelp();
 
-/// The help of one command.
+/// The summary, flags and exit codes of one command.
 std::string commandHelp(const ToolCommand &command);
 
-/// What help there is for the words of a command line: of one command, of those that begin with
-/// these words, or the general one.
+/// The help for the words of a command line: that of the command they name, a list of the commands
+/// that begin with them, or the general help. "metrics" gives the table of metrics.
 std::string helpFor(const std::vector<std::string> &words);
 
 } // namespace guavavalve
--- a/src/tool/httpsession.cpp
+++ b/src/tool/httpsession.cpp
@@ -20,17 +20,17 @@
     return server.find("://") == std::string::npos ? "http://" + server : server;
 }
 
-/// Whether the connection could not even be made, so that nothing was sent.
+/// Whether the connection could not be established, so that nothing was sent.
 bool wasNeverSent(const std::error_code &code)
 {
     return code == std::errc::connection_refused || code == std::errc::host_unreachable
         || code == std::errc::network_unreachable;
 }
 
-Error unreachable(const std::string &server, const web::http::http_exception &problem)
+Error noResponseError(const std::string &server, const web::http::http_exception &problem)
 {
     Error error =
-        failure(ErrorCode::Unavailable, "no answer from " + server + ": " + problem.what());
+        failure(ErrorCode::Unavailable, "no response from " + server + ": " + problem.what());
     error.ran = wasNeverSent(problem.error_code()) ? Ran::No : Ran::Unknown;
     return error;
 }
@@ -55,8 +55,8 @@
     return result;
 }
 
-/// Another entry may do better than one that is starting, shutting down or cut off.
-bool isWorthTryingElsewhere(const Error &error)
+/// Another server may be able to answer if this one is starting, shutting down or disconnected.
+bool mayRetryElsewhere(const Error &error)
 {
     return error.code == ErrorCode::Unavailable || error.code == ErrorCode::NotLeader;
 }
@@ -67,62 +67,64 @@
     : options(std::move(sessionOptions))
 {}
 
-Result<ToolAnswer> HttpSession::sendTo(const std::string &server, const ToolRequest &request) const
+Result<ToolResponse> HttpSession::sendTo(const std::string &server,
+                                         const ToolRequest &request) const
 {
     web::http::client::http_client_config config;
     config.set_timeout(this->options.timeout);
     try {
         web::http::client::http_client client(urlOf(server), config);
-        web::http::http_response response =
+        web::http::http_response received =
             client.request(makeRequest(request, this->options.key)).get();
-        ToolAnswer answer;
-        answer.status = response.status_code();
-        for (const auto &[name, value] : response.headers())
-            answer.headers[lowerCase(name)] = value;
-        // As bytes: the library would refuse a text whose character set it does not know.
-        const std::vector<unsigned char> bytes = response.extract_vector().get();
-        answer.body.assign(bytes.begin(), bytes.end());
-        if (answer.status >= firstErrorStatus)
-            return errorOf(answer);
-        return answer;
+        ToolResponse response;
+        response.status = received.status_code();
+        for (const auto &[name, value] : received.headers())
+            response.headers[lowerCase(name)] = value;
+        // Read as bytes, because the library rejects text in a character set that it does not know.
+        const std::vector<unsigned char> bytes = received.extract_vector().get();
+        response.body.assign(bytes.begin(), bytes.end());
+        if (response.status >= firstErrorStatus)
+            return errorOf(response);
+        return response;
     } catch (const web::http::http_exception &problem) {
-        return unreachable(server, problem);
+        return noResponseError(server, problem);
     } catch (const std::exception &problem) {
         return failure(ErrorCode::InvalidArgument,
-                       "\"" + server + "\" is not an address of an entry: " + problem.what());
+                       "\"" + server
+                           + "\" is not the address of an entry instance: " + problem.what());
     }
 }
 
-Result<ToolAnswer> HttpSession::tryEach(const ToolRequest &request) const
+Result<ToolResponse> HttpSession::tryServers(const ToolRequest &request) const
 {
     Error last = failure(ErrorCode::InvalidArgument, "no server was given");
     Ran ran = Ran::No;
     for (const std::string &server : this->options.servers) {
-        Result<ToolAnswer> answer = this->sendTo(server, request);
-        if (answer)
-            return answer;
-        last = answer.error();
-        // What one entry may have done stays open, whatever a further one says.
+        Result<ToolResponse> response = this->sendTo(server, request);
+        if (response)
+            return response;
+        last = response.error();
+        // A server may have carried the request out, whatever a later one answers.
         ran = std::max(ran, last.ran);
-        if (!isWorthTryingElsewhere(last))
+        if (!mayRetryElsewhere(last))
             break;
     }
     last.ran = ran;
     return last;
 }
 
-Result<ToolAnswer> HttpSession::send(const ToolRequest &request) const
+Result<ToolResponse> HttpSession::send(const ToolRequest &request) const
 {
     const Instant deadline = monotonicNow() + this->options.timeout;
     while (true) {
-        Result<ToolAnswer> answer = this->tryEach(request);
-        // Only what was truly not run, and by an entry that says when to come back.
-        if (answer || answer.error().ran != Ran::No || !isWorthTryingElsewhere(answer.error())
-            || answer.error().retryAfter.count() <= 0)
-            return answer;
-        const Milliseconds wait = answer.error().retryAfter;
+        Result<ToolResponse> response = this->tryServers(request);
+        // Retries only a request that certainly did not run, when the server says when to retry.
+        if (response || response.error().ran != Ran::No || !mayRetryElsewhere(response.error())
+            || response.error().retryAfter.count() <= 0)
+            return response;
+        const Milliseconds wait = response.error().retryAfter;
         if (monotonicNow() + wait >= deadline)
-            return answer;
+            return response;
         std::this_thread::sleep_for(wait);
     }
 }
@@ -132,13 +134,13 @@
     return web::uri::encode_data_string(text);
 }
 
-Error errorOf(const ToolAnswer &answer)
+Error errorOf(const ToolResponse &response)
 {
-    const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
+    const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
     if (!body.is_object() || !body.value("error", nlohmann::json()).is_string())
         return failure(ErrorCode::Unavailable,
-                       "the server answered with status " + std::to_string(answer.status)
-                           + " and no error that this tool knows; is it a guavavalve entry?");
+                       "the server responded with status " + std::to_string(response.status)
+                           + " and without a guavavalve error; is it a guavavalve entry instance?");
     Error error;
     const std::string code = body["error"];
     error.code = enumFromName(errorCodeNames, code).value_or(ErrorCode::Internal);
--- a/src/tool/jobcommands.cpp
+++ b/src/tool/jobcommands.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char *jobsPath = "/v1/jobs";
 
-std::string need()
+std::string describeNeed()
 {
     return "milliCores=" + std::to_string(absl::GetFlag(FLAGS_milli_cores))
         + ",memoryMb=" + std::to_string(absl::GetFlag(FLAGS_memory_mb))
@@ -22,7 +22,8 @@
         + ",connections=" + std::to_string(absl::GetFlag(FLAGS_connections));
 }
 
-/// The submission that the flags describe. Its identity makes a resend safe, to another entry too.
+/// The submission that the flags describe. Its idempotency key makes it safe to send again, also to
+/// another entry instance.
 ToolRequest submission(const std::string &payload)
 {
     ToolRequest request;
@@ -32,7 +33,7 @@
     request.headers = {
         {"Idempotency-Key", requestId()},
         {"Guavavalve-Class", absl::GetFlag(FLAGS_class)},
-        {"Guavavalve-Need", need()},
+        {"Guavavalve-Need", describeNeed()},
         {"Guavavalve-Tasks", std::to_string(absl::GetFlag(FLAGS_tasks))},
         {"Guavavalve-Repeatable", absl::GetFlag(FLAGS_repeatable) ? "true" : "false"},
         {"Guavavalve-Start-Within-Ms", std::to_string(absl::GetFlag(FLAGS_start_within_ms))},
@@ -61,14 +62,14 @@
     return context.show(request, [&](const json &status) { printStatus(context, status); });
 }
 
-/// An answer is the target's bytes, and printed as they are.
+/// Prints the answer of a task exactly as the target sent it.
 ExitCode printAnswer(const ToolContext &context, const ToolRequest &request)
 {
-    const Result<ToolAnswer> answer = context.send(request);
-    if (!answer)
-        return context.fail(answer.error());
-    context.print(answer.value().body);
-    const auto &headers = answer.value().headers;
+    const Result<ToolResponse> response = context.send(request);
+    if (!response)
+        return context.fail(response.error());
+    context.print(response.value().body);
+    const auto &headers = response.value().headers;
     const auto job = headers.find("guavavalve-job");
     const auto waited = headers.find("guavavalve-waited-ms");
     if (job != headers.end())
@@ -157,27 +158,21 @@
          "[FILE]",
          0,
          1,
-         "Submits a job, whose payload is FILE or the standard input, and prints its number.",
+         "Submits a job with FILE or the standard input as payload, and prints its number.",
          {"class", "tasks", "milli_cores", "memory_mb", "accelerators", "slots", "connections",
           "repeatable", "start_within_ms", "finish_within_ms", "run_time_ms", "wait", "request_id"},
          submit},
-        {"jobs status", "JOB", 1, 1, "Shows where a job stands.", {"wait"}, status},
+        {"jobs status", "JOB", 1, 1, "Shows the state of a job and its tasks.", {"wait"}, status},
         {"jobs answer",
          "JOB [POSITION]",
          1,
          2,
-         "Prints the whole answer of a job's task; the first is at position 0.",
+         "Prints the complete answer of a task of a job; the first task is at position 0.",
          {},
          answer},
         {"jobs cancel", "JOB", 1, 1, "Cancels a job.", {}, cancel},
-        {"jobs list",
-         "",
-         0,
-         0,
-         "Lists jobs, the newest first.",
-         {"team", "unfinished", "limit"},
-         list},
-        {"explain", "JOB", 1, 1, "Tells why a job is where it is.", {}, explain},
+        {"jobs list", "", 0, 0, "Lists jobs, newest first.", {"team", "unfinished", "limit"}, list},
+        {"explain", "JOB", 1, 1, "Explains the state of a job.", {}, explain},
     };
 }
 
--- a/src/tool/keycommands.cpp
+++ b/src/tool/keycommands.cpp
@@ -19,10 +19,10 @@
                     {"role", absl::GetFlag(FLAGS_role)},
                     {"label", absl::GetFlag(FLAGS_label)},
                     {"requestId", requestId()}};
-    return thenWait(context,
-                    context.show(jsonRequest("POST", keysPath, body), [&](const json &granted) {
-                        context.print(granted["token"].get<std::string>() + "\n");
-                    }));
+    return waitUntilInForce(
+        context, context.show(jsonRequest("POST", keysPath, body), [&](const json &granted) {
+            context.print(granted["token"].get<std::string>() + "\n");
+        }));
 }
 
 ExitCode list(const ToolContext &context, const std::vector<std::string> &)
@@ -37,11 +37,11 @@
 
 ExitCode withdraw(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    // A whole token is taken too: people copy what they were given. Its secret is not sent.
+    // Also accepts a complete token, since that is what people were given. Its secret is not sent.
     const std::string keyId = arguments[0].substr(0, arguments[0].find(':'));
     const json body{{"keyId", keyId}, {"requestId", requestId()}};
     const ToolRequest request = jsonRequest("POST", std::string(keysPath) + "/withdraw", body);
-    return thenWait(context, context.show(request, [&](const json &) {
+    return waitUntilInForce(context, context.show(request, [&](const json &) {
         context.print(keyId + " is withdrawn\n");
     }));
 }
@@ -55,7 +55,7 @@
          "",
          0,
          0,
-         "Grants a key and prints its token, which is kept nowhere.",
+         "Grants a key and prints its token, which is not stored anywhere.",
          {"team", "role", "label", "request_id", "wait"},
          grant},
         {"keys list", "", 0, 0, "Lists the keys, without their secrets.", {}, list},
@@ -63,7 +63,7 @@
          "KEYID",
          1,
          1,
-         "Withdraws a key for good; every entry refuses it within seconds.",
+         "Withdraws a key permanently; every entry instance refuses it within seconds.",
          {"request_id", "wait"},
          withdraw},
     };
--- a/src/tool/replaycommand.cpp
+++ b/src/tool/replaycommand.cpp
@@ -59,12 +59,12 @@
         if (!report)
             return context.fail(report.error());
         reports.push_back(report.value());
-        if (!context.forPrograms())
+        if (!context.printsJson())
             print(context, report.value());
         if (!report.value()["passed"].get<bool>())
             code = ExitCode::Failed;
     }
-    if (context.forPrograms())
+    if (context.printsJson())
         context.print(reports.dump(indent) + "\n");
     return code;
 }
@@ -73,11 +73,11 @@
 
 std::vector<ToolCommand> replayCommands()
 {
-    constexpr std::size_t many = 1000;
+    constexpr std::size_t maxFiles = 1000;
     return {{"replay",
              "FILE ...",
              1,
-             many,
+             maxFiles,
              "Replays recorded traces and compares decisions and outcomes. Needs no server.",
              {},
              replay}};
--- a/src/tool/replicacommands.cpp
+++ b/src/tool/replicacommands.cpp
@@ -21,10 +21,10 @@
 
 ExitCode showReplicas(const ToolContext &context, const ToolRequest &request)
 {
-    return context.show(request, [&](const json &answer) { printReplicas(context, answer); });
+    return context.show(request, [&](const json &response) { printReplicas(context, response); });
 }
 
-/// "NAME=IP:PORT", or null.
+/// Parses "NAME=IP:PORT"; null if \a text has another form.
 json parseMember(const std::string &text)
 {
     const std::size_t equals = text.find('=');
@@ -39,27 +39,27 @@
     for (const std::string &argument : arguments) {
         members.push_back(parseMember(argument));
         if (members.back().is_null())
-            return context.usage("\"" + argument + "\" is not NAME=IP:PORT");
+            return context.usageError("\"" + argument + "\" is not NAME=IP:PORT");
     }
     if (members.size() % 2 == 0)
-        return context.usage("give an odd number of replicas: an even one tolerates no more "
-                             "losses and needs a larger quorum");
+        return context.usageError("expected an odd number of replicas: an even number needs a "
+                                  "larger quorum and tolerates no more failures");
     const ExitCode code = showReplicas(
         context, jsonRequest("POST", "/v1/operators/replicas/form", {{"members", members}}));
-    if (code == ExitCode::Done && !context.forPrograms())
+    if (code == ExitCode::Done && !context.printsJson())
         context.print("formed; next, with the same key: guavavalve keys grant --role=operator\n");
     return code;
 }
 
 ExitCode status(const ToolContext &context, const std::vector<std::string> &)
 {
-    const Result<json> answer = context.ask(getRequest("/v1/operators/replicas"));
-    if (answer || exitCodeOf(answer.error()) != ExitCode::Unavailable)
+    const Result<json> response = context.requestJson(getRequest("/v1/operators/replicas"));
+    if (response || exitCodeOf(response.error()) != ExitCode::Unavailable)
         return showReplicas(context, getRequest("/v1/operators/replicas"));
-    // Without a controller an entry still tells how it sees its group.
-    if (!context.forPrograms())
-        context.print("no controller answers (" + answer.error().message
-                      + "); an entry's own view:\n");
+    // Without a controller, an entry instance still reports its own view of the group.
+    if (!context.printsJson())
+        context.print("no controller answers (" + response.error().message
+                      + "); the view of one entry instance:\n");
     return showReplicas(context, getRequest("/v1/operators/replicas/own"));
 }
 
@@ -67,7 +67,7 @@
 {
     const json member = parseMember(arguments[0]);
     if (member.is_null())
-        return context.usage("\"" + arguments[0] + "\" is not NAME=IP:PORT");
+        return context.usageError("\"" + arguments[0] + "\" is not NAME=IP:PORT");
     return showReplicas(context, jsonRequest("POST", "/v1/operators/replicas/add", member));
 }
 
@@ -82,24 +82,30 @@
 
 std::vector<ToolCommand> replicaCommands()
 {
-    constexpr std::size_t mostReplicas = 9;
+    constexpr std::size_t maxReplicas = 9;
     return {
         {"form",
          "NAME=IP:PORT [...]",
          1,
-         mostReplicas,
+         maxReplicas,
          "Forms the replica group, once. The key is cluster-secret:SECRET.",
          {},
          form},
-        {"replicas status", "", 0, 0, "Who leads, and how far each replica is.", {}, status},
+        {"replicas status",
+         "",
+         0,
+         0,
+         "Shows the leader and the progress of each replica.",
+         {},
+         status},
         {"replicas add",
          "NAME=IP:PORT",
          1,
          1,
-         "Adds a replica; it votes once it has synced everything.",
+         "Adds a replica; it votes once it has caught up.",
          {},
          add},
-        {"replicas remove", "NAME", 1, 1, "Takes a replica out of the group.", {}, remove},
+        {"replicas remove", "NAME", 1, 1, "Removes a replica from the group.", {}, remove},
     };
 }
 
--- a/src/tool/sectionfiles.cpp
+++ b/src/tool/sectionfiles.cpp
@@ -13,10 +13,10 @@
 
 Result<std::vector<SectionFile>> readDocument(const std::string &path)
 {
-    constexpr std::size_t mostBytes = 64U << 20U;
+    constexpr std::size_t maxBytes = 64U << 20U;
     BOOST_OUTCOME_TRY(text, readFile(path));
-    // Read with the same eyes as the daemon's: a name that stands twice is a fault here too.
-    const JsonDocument document = parseJson(text, mostBytes);
+    // Parsed like the daemon's own documents, so that duplicate names are errors here too.
+    const JsonDocument document = parseJson(text, maxBytes);
     if (!document.problems.empty())
         return failure(ErrorCode::InvalidArgument, problemsText(path, document.problems));
     std::vector<SectionFile> drafts;
--- a/src/tool/sectionfiles.h
+++ b/src/tool/sectionfiles.h
@@ -7,16 +7,17 @@
 
 namespace guavavalve {
 
-/// A section as somebody wrote it to a file.
+/// A section of the configuration, as read from a file.
 struct SectionFile
 {
     std::string name;
     std::string content; ///< JSON text
 };
 
-/// What the arguments of a command name: pairs of SECTION FILE, or one DOCUMENT, a JSON object
-/// with a field for each section. The cell's section comes first, since the others lean on it.
-/// \errors InvalidArgument, naming the file and, for a document, each doubled name.
+/// Reads the files that a command's arguments name: pairs of SECTION FILE, or one DOCUMENT, a JSON
+/// object with a field for each section. Of a document, the cell's section comes first, since the
+/// others depend on it.
+/// \errors InvalidArgument, naming the file and, for a document, each duplicate name.
 Result<std::vector<SectionFile>> readDrafts(const std::vector<std::string> &arguments);
 
 } // namespace guavavalve
--- a/src/tool/table.cpp
+++ b/src/tool/table.cpp
@@ -11,8 +11,8 @@
 
 std::string formatNumber(double value)
 {
-    constexpr std::size_t longest = 32;
-    std::string text(longest, '\0');
+    constexpr std::size_t maxLength = 32;
+    std::string text(maxLength, '\0');
     const int length = std::snprintf(text.data(), text.size(), "%.3g", value);
     text.resize(static_cast<std::size_t>(std::max(length, 0)));
     return text;
--- a/src/tool/table.h
+++ b/src/tool/table.h
@@ -7,17 +7,17 @@
 
 namespace guavavalve {
 
-/// A column of a table for people: its title, and where its value stands in a row's JSON.
+/// A column of a text table: its title, and where to find its value in the JSON of a row.
 struct Column
 {
     std::string title;
     std::string pointer; ///< JSON pointer (RFC 6901)
 };
 
-/// \a rows as aligned lines of text, with a line of titles.
+/// Formats \a rows as aligned lines of text below a line of titles.
 std::string formatTable(const std::vector<Column> &columns, const nlohmann::json &rows);
 
-/// A value as it stands in a cell: texts without quotes, "-" for nothing.
+/// Formats the value of a cell: strings without quotes, "-" for null or an empty string.
 std::string formatCell(const nlohmann::json &value);
 
 } // namespace guavavalve
--- a/src/tool/toolcommands.cpp
+++ b/src/tool/toolcommands.cpp
@@ -23,7 +23,7 @@
     append(all, keyCommands());
     append(all, replicaCommands());
     append(all, replayCommands());
-    append(all, logCommands());
+    append(all, delayCommands());
     return all;
 }
 
--- a/src/tool/toolcontext.cpp
+++ b/src/tool/toolcontext.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-/// What to do about an error, where its own message leaves it open.
+/// What to do about an error, where its message does not say so.
 std::string adviceFor(const Error &error)
 {
     if (error.ran == Ran::Unknown)
-        return "it may have been carried out; run the command again with the same --request-id";
+        return "the request may have been carried out; run the command again with the same "
+               "--request-id";
     switch (error.code) {
     case ErrorCode::Unauthenticated:
-        return "give a key with --key or in GUAVAVALVE_KEY; an operator grants one with "
+        return "provide a key with --key or GUAVAVALVE_KEY; an operator can grant one with "
                "\"guavavalve keys grant\"";
     case ErrorCode::PermissionDenied:
-        return "use a key of the owner's team, or an operator's";
+        return "use a key of the owning team or an operator key";
     case ErrorCode::Unavailable:
     case ErrorCode::NotLeader:
-        return "try again in a few seconds; \"guavavalve replicas status\" shows who leads";
+        return "retry in a few seconds; \"guavavalve replicas status\" shows the leader";
     case ErrorCode::Conflict:
-        return "look at what is there now, then ask again";
+        return "check the current state, then retry";
     default:
         return "";
     }
@@ -37,45 +38,45 @@
     , err(errors)
 {}
 
-Result<ToolAnswer> ToolContext::send(const ToolRequest &request) const
+Result<ToolResponse> ToolContext::send(const ToolRequest &request) const
 {
     return this->session.send(request);
 }
 
-Result<nlohmann::json> ToolContext::ask(const ToolRequest &request) const
+Result<nlohmann::json> ToolContext::requestJson(const ToolRequest &request) const
 {
-    BOOST_OUTCOME_TRY(answer, this->session.send(request));
-    nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
+    BOOST_OUTCOME_TRY(response, this->session.send(request));
+    nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
     if (body.is_discarded())
-        return failure(ErrorCode::Internal, "the server's answer is not JSON");
+        return failure(ErrorCode::Internal, "the server's response is not JSON");
     return body;
 }
 
 ExitCode ToolContext::show(const ToolRequest &request,
-                           const std::function<void(const nlohmann::json &)> &printForPeople) const
+                           const std::function<void(const nlohmann::json &)> &printText) const
 {
-    const Result<nlohmann::json> answer = this->ask(request);
-    if (!answer)
-        return this->fail(answer.error());
+    const Result<nlohmann::json> response = this->requestJson(request);
+    if (!response)
+        return this->fail(response.error());
     constexpr int indent = 2;
-    if (this->forPrograms())
-        this->out << answer.value().dump(indent) << "\n";
+    if (this->printsJson())
+        this->out << response.value().dump(indent) << "\n";
     else
-        printForPeople(answer.value());
+        printText(response.value());
     return ExitCode::Done;
 }
 
 ExitCode ToolContext::showTable(const ToolRequest &request, const std::string &rows,
                                 const std::vector<Column> &columns) const
 {
-    return this->show(request, [&](const nlohmann::json &answer) {
-        this->out << formatTable(columns, answer.value(rows, nlohmann::json::array()));
+    return this->show(request, [&](const nlohmann::json &response) {
+        this->out << formatTable(columns, response.value(rows, nlohmann::json::array()));
     });
 }
 
 ExitCode ToolContext::fail(const Error &error) const
 {
-    if (this->forPrograms()) {
+    if (this->printsJson()) {
         const nlohmann::json body{{"error", enumName(errorCodeNames, error.code)},
                                   {"message", error.message},
                                   {"ran", enumName(ranNames, error.ran)},
@@ -93,11 +94,11 @@
 
 void ToolContext::note(const std::string &text) const
 {
-    if (!this->forPrograms())
+    if (!this->printsJson())
         this->err << text << "\n";
 }
 
-ExitCode ToolContext::usage(const std::string &message) const
+ExitCode ToolContext::usageError(const std::string &message) const
 {
     this->err << "guavavalve: " << message << "\n";
     return ExitCode::Usage;
--- a/src/tool/toolcontext.h
+++ b/src/tool/toolcontext.h
@@ -20,31 +20,33 @@
     {OutputFormat::Json, "json"},
 }};
 
-/// What a command of the tool works with.
+/// The session, output format and output streams of one run of the tool.
 class ToolContext
 {
 public:
     ToolContext(HttpSession session, OutputFormat format, std::ostream &out, std::ostream &err);
 
-    /// Sends a request and reads the answer as JSON.
-    Result<nlohmann::json> ask(const ToolRequest &request) const;
-    Result<ToolAnswer> send(const ToolRequest &request) const;
+    /// Sends a request and parses the response as JSON.
+    Result<nlohmann::json> requestJson(const ToolRequest &request) const;
+    Result<ToolResponse> send(const ToolRequest &request) const;
 
-    /// Prints what \a request gives: as JSON, or as \a printForPeople does.
+    /// Sends \a request and prints the response: as JSON, or with \a printText.
     ExitCode show(const ToolRequest &request,
-                  const std::function<void(const nlohmann::json &)> &printForPeople) const;
+                  const std::function<void(const nlohmann::json &)> &printText) const;
 
-    /// As above, with one table of the rows at \a rows in the answer.
+    /// As above, printing a table of the rows in the field \a rows of the response.
     ExitCode showTable(const ToolRequest &request, const std::string &rows,
                        const std::vector<Column> &columns) const;
 
+    /// Prints \a error to the standard error: as JSON, or as text with advice on what to do.
     ExitCode fail(const Error &error) const;
-    ExitCode usage(const std::string &message) const;
+    /// Reports an invalid command line.
+    ExitCode usageError(const std::string &message) const;
 
     void print(const std::string &text) const { this->out << text; }
-    /// A remark beside what was asked for: to the standard error, and for people only.
+    /// Prints additional information to the standard error; omitted from JSON output.
     void note(const std::string &text) const;
-    bool forPrograms() const { return this->format == OutputFormat::Json; }
+    bool printsJson() const { return this->format == OutputFormat::Json; }
 
 private:
     HttpSession session;
--- a/src/tool/toolflags.cpp
+++ b/src/tool/toolflags.cpp
@@ -7,32 +7,34 @@
 #include <random>
 
 ABSL_FLAG(std::vector<std::string>, server, {"127.0.0.1:7080"},
-          "entries to ask, as ip:port separated by commas; tried in turn");
-ABSL_FLAG(std::string, key, "", "your key, KEYID:SECRET; otherwise GUAVAVALVE_KEY is used");
+          "entry instances, as ip:port separated by commas; tried in this order");
+ABSL_FLAG(std::string, key, "",
+          "your key, KEYID:SECRET; the default is the environment variable GUAVAVALVE_KEY");
 ABSL_FLAG(std::string, output, "table", "table (for people) or json (for programs)");
-ABSL_FLAG(std::int64_t, timeout_ms, 30000, "how long to wait for one entry's answer, in ms");
+ABSL_FLAG(std::int64_t, timeout_ms, 30000,
+          "how long to wait for the response of one server, in ms");
 ABSL_FLAG(std::string, request_id, "",
           "identity of the request; give that of an earlier run to learn its outcome");
-ABSL_FLAG(std::int64_t, base_version, -1,
-          "version that is replaced; without it the version that is there when asked");
-ABSL_FLAG(bool, wait, false, "wait for the end: of a job, or of a change reaching every instance");
+ABSL_FLAG(std::int64_t, base_version, -1, "version to replace; the default is the current version");
+ABSL_FLAG(bool, wait, false,
+          "wait until the job has finished, or the change is in force on every instance");
 ABSL_FLAG(std::string, team, "", "name of a team");
-ABSL_FLAG(std::string, role, "team", "what a key is for: team or operator");
-ABSL_FLAG(std::string, label, "", "a note on a key, for people");
+ABSL_FLAG(std::string, role, "team", "role of the key: team or operator");
+ABSL_FLAG(std::string, label, "", "description of the key");
 ABSL_FLAG(bool, unfinished, false, "only jobs that have not finished");
-ABSL_FLAG(std::int64_t, limit, 100, "the most rows to list");
+ABSL_FLAG(std::int64_t, limit, 100, "maximum number of rows to list");
 ABSL_FLAG(std::string, class, "prompt", "prompt, service, batch or gang");
-ABSL_FLAG(std::int64_t, tasks, 1, "how many tasks the job has");
+ABSL_FLAG(std::int64_t, tasks, 1, "number of tasks of the job");
 ABSL_FLAG(std::int64_t, milli_cores, 0, "thousandths of a core for each task");
 ABSL_FLAG(std::int64_t, memory_mb, 0, "memory for each task, in MB");
 ABSL_FLAG(std::int64_t, accelerators, 0, "accelerators for each task");
 ABSL_FLAG(std::int64_t, slots, 1, "slots for each task");
 ABSL_FLAG(std::int64_t, connections, 1, "connections for each task");
-ABSL_FLAG(bool, repeatable, true, "--norepeatable: run at most once, ever");
+ABSL_FLAG(bool, repeatable, true, "--norepeatable: run each task at most once");
 ABSL_FLAG(std::int64_t, start_within_ms, 0, "must start within, in ms; 0: no deadline");
 ABSL_FLAG(std::int64_t, finish_within_ms, 0, "must finish within, in ms; 0: no deadline");
 ABSL_FLAG(std::int64_t, run_time_ms, 0, "declared run time, in ms; 0: not declared");
-ABSL_FLAG(std::string, page, "", "write the findings as an HTML page to this file too");
+ABSL_FLAG(std::string, page, "", "also write the findings to this file, as an HTML page");
 
 namespace guavavalve {
 
@@ -43,14 +45,14 @@
         return given;
     constexpr int digits = 24;
     constexpr const char *alphabet = "0123456789abcdef";
-    std::random_device chance;
+    std::random_device randomDevice;
     std::uniform_int_distribution<std::size_t> digit(0, 15);
-    std::string made = "tool-";
+    std::string generated = "tool-";
     for (int i = 0; i < digits; ++i)
-        made.push_back(alphabet[digit(chance)]);
-    // Kept, so that a command that asks twice names one request.
-    absl::SetFlag(&FLAGS_request_id, made);
-    return made;
+        generated.push_back(alphabet[digit(randomDevice)]);
+    // Stored, so that a command that sends several requests uses one identity.
+    absl::SetFlag(&FLAGS_request_id, generated);
+    return generated;
 }
 
 std::string describeFlag(const std::string &name)
--- a/src/tool/toolflags.h
+++ b/src/tool/toolflags.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-// Every flag of the tool. Commands name those that they heed.
+// Every flag of the tool. Each command lists the ones that it uses.
 ABSL_DECLARE_FLAG(std::vector<std::string>, server);
 ABSL_DECLARE_FLAG(std::string, key);
 ABSL_DECLARE_FLAG(std::string, output);
@@ -34,10 +34,10 @@
 
 namespace guavavalve {
 
-/// The identity of this run's request: that of --request-id, or one made by chance.
+/// The identity of this run's request: the value of --request-id, or a random one.
 std::string requestId();
 
-/// What --help says of flag \a name, with its default.
+/// The help text of flag \a name, with its default; empty if there is no such flag.
 std::string describeFlag(const std::string &name);
 
 } // namespace guavavalve
--- a/src/tool/toolmain.cpp
+++ b/src/tool/toolmain.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A command line taken apart.
+/// A parsed command line.
 struct CommandLine
 {
     std::vector<std::string> words;
@@ -24,7 +24,8 @@
     std::string problem; ///< empty: none
 };
 
-/// Sets the flag that \a text, without its dashes, names. "noNAME" is a boolean's "false".
+/// Sets the flag that \a text, without its dashes, names. "noNAME" sets a boolean flag to false.
+/// \returns an error message; empty if the flag was set.
 std::string setFlag(const std::string &text)
 {
     const std::size_t equals = text.find('=');
@@ -64,21 +65,24 @@
     return line;
 }
 
-bool startsWith(const std::vector<std::string> &words, const std::string &name,
-                std::size_t &wordsOfName)
+/// Whether \a words begin with the words of the command \a name; if so, \a nameWords is their
+/// number.
+bool matchesCommand(const std::vector<std::string> &words, const std::string &name,
+                    std::size_t &nameWords)
 {
     std::string joined;
     for (std::size_t i = 0; i < words.size(); ++i) {
         joined += (i == 0 ? "" : " ") + words[i];
         if (joined == name) {
-            wordsOfName = i + 1;
+            nameWords = i + 1;
             return true;
         }
     }
     return false;
 }
 
-std::string keyToShow()
+/// The value of --key, or otherwise of the environment variable GUAVAVALVE_KEY.
+std::string bearerToken()
 {
     std::string key = absl::GetFlag(FLAGS_key);
     const char *fromEnvironment = std::getenv("GUAVAVALVE_KEY");
@@ -111,22 +115,22 @@
     const auto format = enumFromName(outputFormatNames, absl::GetFlag(FLAGS_output));
     SessionOptions options;
     options.servers = absl::GetFlag(FLAGS_server);
-    options.key = keyToShow();
+    options.key = bearerToken();
     options.timeout = Milliseconds(absl::GetFlag(FLAGS_timeout_ms));
     const ToolContext context(HttpSession(options), format.value_or(OutputFormat::Table), out, err);
     if (!line.problem.empty())
-        return end(context.usage(line.problem));
+        return end(context.usageError(line.problem));
     if (!format)
-        return end(context.usage("--output must be table or json"));
+        return end(context.usageError("--output must be table or json"));
     for (const ToolCommand &command : toolCommands()) {
-        std::size_t wordsOfName = 0;
-        if (!startsWith(line.words, command.name, wordsOfName))
+        std::size_t nameWords = 0;
+        if (!matchesCommand(line.words, command.name, nameWords))
             continue;
-        const std::vector<std::string> rest(line.words.begin() + static_cast<long>(wordsOfName),
+        const std::vector<std::string> rest(line.words.begin() + static_cast<long>(nameWords),
                                             line.words.end());
         const std::string problem = checkArguments(command, rest.size());
         if (!problem.empty())
-            return end(context.usage(problem));
+            return end(context.usageError(problem));
         return end(command.run(context, rest));
     }
     err << "guavavalve: there is no command \"" << line.words[0] << "\"\n\n" << helpFor(line.words);
--- a/src/tool/toolmain.h
+++ b/src/tool/toolmain.h
@@ -6,8 +6,8 @@
 
 namespace guavavalve {
 
-/// Runs the tool as its main() does, and returns what the process ends with.
-/// \a arguments: the command line without the program's name.
+/// Runs the tool and returns the exit status for its process.
+/// \a arguments is the command line without the program's name.
 int runTool(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err);
 
 } // namespace guavavalve
--- a/test/tool/tooltest.cpp
+++ b/test/tool/tooltest.cpp
@@ -23,8 +23,8 @@
 
 Outcome run(const std::vector<std::string> &arguments)
 {
-    // Flags are the process's; what one run sets ends with it. Not in the tool itself: the
-    // restoring writes lines to the standard error.
+    // Flags are global to the process, so those that one run sets are restored afterwards. The tool
+    // itself does not do this, because restoring them writes to the standard error.
     const absl::FlagSaver saver;
     std::ostringstream out;
     std::ostringstream err;
@@ -32,11 +32,11 @@
     return {code, out.str(), err.str()};
 }
 
-/// Runs the tool against \a bench with \a key.
-Outcome runAt(const OperatorFixture &bench, const std::string &key,
-              std::vector<std::string> arguments)
+/// Runs the tool against the server of \a fixture with \a key.
+Outcome runWithKey(const OperatorFixture &fixture, const std::string &key,
+                   std::vector<std::string> arguments)
 {
-    arguments.push_back("--server=" + bench.address());
+    arguments.push_back("--server=" + fixture.address());
     arguments.push_back("--key=" + key);
     return run(arguments);
 }
@@ -61,7 +61,7 @@
     std::string path = "/tmp/guavavalve-tool-XXXXXX";
 };
 
-/// "KEYID:SECRET" without the line's end.
+/// The first line of \a text, without its line end.
 std::string trimmed(const std::string &text)
 {
     return text.substr(0, text.find('\n'));
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("A wrong command line is answered with what to mend and sends nothing")
+TEST_CASE("An invalid command line is rejected with a message that names the mistake")
 {
     CHECK(run({}).code == 2);
     CHECK(run({"config", "nonsense"}).code == 2);
@@ -98,12 +98,12 @@
     CHECK(run({"status", "--output=xml"}).code == 2);
 }
 
-TEST_CASE("An entry that is not there is passed over for the next one")
+TEST_CASE("The tool skips an unreachable entry instance and uses the next one")
 {
-    OperatorFixture bench;
-    bench.makeOperator();
-    const Outcome outcome = run({"keys", "list", "--key=" + bench.operatorToken,
-                                 "--server=127.0.0.1:1," + bench.address()});
+    OperatorFixture fixture;
+    fixture.makeOperator();
+    const Outcome outcome = run({"keys", "list", "--key=" + fixture.operatorToken,
+                                 "--server=127.0.0.1:1," + fixture.address()});
     CHECK(outcome.code == 0);
     CHECK(contains(outcome.out, "operator"));
     const Outcome none = run({"keys", "list", "--key=x:y", "--server=127.0.0.1:1"});
@@ -111,92 +111,100 @@
     CHECK(contains(none.err, "(ran: no)"));
 }
 
-TEST_CASE("The tool takes a new cell from its forming to a team's key")
+TEST_CASE("The tool sets up a new cell, from forming the replica group to granting a team's key")
 {
-    OperatorFixture bench;
+    OperatorFixture fixture;
     const Outcome formed =
-        runAt(bench, OperatorFixture::clusterToken(), {"form", "r1=127.0.0.1:7001"});
+        runWithKey(fixture, OperatorFixture::clusterToken(), {"form", "r1=127.0.0.1:7001"});
     CHECK(formed.code == 0);
-    CHECK(bench.formed == 1);
+    CHECK(fixture.formed == 1);
     const Outcome granted =
-        runAt(bench, OperatorFixture::clusterToken(), {"keys", "grant", "--role=operator"});
+        runWithKey(fixture, OperatorFixture::clusterToken(), {"keys", "grant", "--role=operator"});
     REQUIRE(granted.code == 0);
-    const std::string boss = trimmed(granted.out);
+    const std::string operatorKey = trimmed(granted.out);
 
     const TemporaryFile section(R"({"description":"mill orders","share":300})");
-    CHECK(runAt(bench, boss, {"config", "check", "team.mill", section.path}).code == 0);
-    const Outcome preview = runAt(bench, boss, {"config", "preview", "team.mill", section.path});
+    CHECK(runWithKey(fixture, operatorKey, {"config", "check", "team.mill", section.path}).code
+          == 0);
+    const Outcome preview =
+        runWithKey(fixture, operatorKey, {"config", "preview", "team.mill", section.path});
     CHECK(contains(preview.out, "300"));
-    const Outcome set = runAt(bench, boss, {"config", "set", "team.mill", section.path});
+    const Outcome set =
+        runWithKey(fixture, operatorKey, {"config", "set", "team.mill", section.path});
     CHECK(set.code == 0);
     CHECK(contains(set.out, "team.mill is now version 1"));
-    CHECK(contains(runAt(bench, boss, {"config", "show"}).out, "mill orders"));
-    CHECK(contains(runAt(bench, boss, {"config", "history", "team.mill"}).out, "1 "));
+    CHECK(contains(runWithKey(fixture, operatorKey, {"config", "show"}).out, "mill orders"));
+    CHECK(contains(runWithKey(fixture, operatorKey, {"config", "history", "team.mill"}).out, "1 "));
 
-    const Outcome team = runAt(bench, boss, {"keys", "grant", "--team=mill", "--label=floor 2"});
+    const Outcome team =
+        runWithKey(fixture, operatorKey, {"keys", "grant", "--team=mill", "--label=floor 2"});
     REQUIRE(team.code == 0);
-    const Outcome denied = runAt(bench, trimmed(team.out), {"keys", "withdraw", boss});
+    const Outcome denied =
+        runWithKey(fixture, trimmed(team.out), {"keys", "withdraw", operatorKey});
     CHECK(denied.code == 3);
     CHECK(contains(denied.err, "permission-denied"));
-    CHECK(runAt(bench, boss, {"keys", "withdraw", trimmed(team.out)}).code == 0);
-    CHECK(contains(runAt(bench, boss, {"keys", "list"}).out, "floor 2"));
-    CHECK(runAt(bench, trimmed(team.out), {"keys", "list"}).code == 3);
+    CHECK(runWithKey(fixture, operatorKey, {"keys", "withdraw", trimmed(team.out)}).code == 0);
+    CHECK(contains(runWithKey(fixture, operatorKey, {"keys", "list"}).out, "floor 2"));
+    CHECK(runWithKey(fixture, trimmed(team.out), {"keys", "list"}).code == 3);
 }
 
-TEST_CASE("Programs get JSON and exit codes that tell a lost race from a refusal")
+TEST_CASE("JSON output and exit codes distinguish a version conflict from a refusal")
 {
-    OperatorFixture bench;
-    bench.makeOperator();
+    OperatorFixture fixture;
+    fixture.makeOperator();
     const TemporaryFile section(R"({"description":"tours"})");
     const std::vector<std::string> set{
         "config", "set", "team.tours", section.path, "--base-version=0", "--output=json"};
-    const Outcome first = runAt(bench, bench.operatorToken, set);
+    const Outcome first = runWithKey(fixture, fixture.operatorToken, set);
     REQUIRE(first.code == 0);
     CHECK(nlohmann::json::parse(first.out)["version"] == 1);
-    const Outcome lost = runAt(bench, bench.operatorToken, set);
+    const Outcome lost = runWithKey(fixture, fixture.operatorToken, set);
     CHECK(lost.code == 4);
     CHECK(nlohmann::json::parse(lost.err)["error"] == "conflict");
     const TemporaryFile wrong(R"({"share":"much"})");
     const Outcome refused =
-        runAt(bench, bench.operatorToken, {"config", "set", "team.tours", wrong.path});
+        runWithKey(fixture, fixture.operatorToken, {"config", "set", "team.tours", wrong.path});
     CHECK(refused.code == 3);
     CHECK(contains(refused.err, "share"));
 }
 
-TEST_CASE("The tool shows the cell at a glance")
+TEST_CASE("The status commands show the state of the cell")
 {
-    OperatorFixture bench;
-    bench.makeOperator();
-    bench.instances = {{"e1", 0, true}};
-    const Outcome status = runAt(bench, bench.operatorToken, {"status"});
+    OperatorFixture fixture;
+    fixture.makeOperator();
+    fixture.instances = {{"e1", 0, true}};
+    const Outcome status = runWithKey(fixture, fixture.operatorToken, {"status"});
     CHECK(status.code == 0);
     CHECK(contains(status.out, "leader"));
     CHECK(contains(status.out, "behind: e1"));
-    CHECK(contains(status.out, "nothing waits"));
-    CHECK(runAt(bench, bench.operatorToken, {"teams"}).code == 0);
-    CHECK(runAt(bench, bench.operatorToken, {"targets", "list"}).code == 0);
-    CHECK(runAt(bench, bench.operatorToken, {"replicas", "status"}).code == 0);
-    CHECK(runAt(bench, bench.operatorToken, {"config", "in-force"}).code == 0);
+    CHECK(contains(status.out, "no tasks are waiting"));
+    CHECK(runWithKey(fixture, fixture.operatorToken, {"teams"}).code == 0);
+    CHECK(runWithKey(fixture, fixture.operatorToken, {"targets", "list"}).code == 0);
+    CHECK(runWithKey(fixture, fixture.operatorToken, {"replicas", "status"}).code == 0);
+    CHECK(runWithKey(fixture, fixture.operatorToken, {"config", "in-force"}).code == 0);
 }
 
-// A new user has one file with the whole document, as in examples/, and applies it twice: once,
-// and again after a lost connection. The second time there is nothing left to write.
+// Guards against writes that are repeated when a user applies a whole document, such as those in
+// examples/, a second time after a lost connection.
 TEST_CASE("A whole document is applied section by section and applying it again changes nothing")
 {
-    OperatorFixture bench;
-    bench.makeOperator();
+    OperatorFixture fixture;
+    fixture.makeOperator();
     const TemporaryFile document(
         R"({"team.mill":{"share":300},"cell":{"totalShares":500},"team.tours":{"share":100}})");
-    CHECK(runAt(bench, bench.operatorToken, {"config", "check", document.path}).code == 0);
-    const Outcome first = runAt(bench, bench.operatorToken, {"config", "apply", document.path});
+    CHECK(runWithKey(fixture, fixture.operatorToken, {"config", "check", document.path}).code == 0);
+    const Outcome first =
+        runWithKey(fixture, fixture.operatorToken, {"config", "apply", document.path});
     CHECK(first.code == 0);
     CHECK(first.out.find("cell is now") < first.out.find("team.mill is now"));
-    const Outcome again = runAt(bench, bench.operatorToken, {"config", "apply", document.path});
+    const Outcome again =
+        runWithKey(fixture, fixture.operatorToken, {"config", "apply", document.path});
     CHECK(again.code == 0);
     CHECK(again.out.empty());
 
     const TemporaryFile doubled(R"({"team.mill":{"share":1,"share":2}})");
-    const Outcome refused = runAt(bench, bench.operatorToken, {"config", "apply", doubled.path});
+    const Outcome refused =
+        runWithKey(fixture, fixture.operatorToken, {"config", "apply", doubled.path});
     CHECK(refused.code == 3);
     CHECK(contains(refused.err, "share"));
 }
