--- a/src/tool/cellcommands.cpp
+++ b/src/tool/cellcommands.cpp
@@ -167,7 +167,7 @@
          "DOMAIN",
          1,
          1,
-         "Stops placing new tasks on the targets of a failure domain; running ones continue.",
+         "Stops placing new tasks on all targets of a failure domain; running ones continue.",
          {},
          evacuate},
         {"domains open",
