--- a/src/tool/keycommands.cpp
+++ b/src/tool/keycommands.cpp
@@ -37,7 +37,7 @@
 
 ExitCode withdraw(const ToolContext &context, const std::vector<std::string> &arguments)
 {
-    // Also accepts a complete token, since that is what people were given. Its secret is not sent.
+    // Also accepts a complete token, since users copy what they were given. Its secret is not sent.
     const std::string keyId = arguments[0].substr(0, arguments[0].find(':'));
     const json body{{"keyId", keyId}, {"requestId", requestId()}};
     const ToolRequest request = jsonRequest("POST", std::string(keysPath) + "/withdraw", body);
--- a/src/tool/toolcommand.h
+++ b/src/tool/toolcommand.h
@@ -18,8 +18,7 @@
     std::size_t minArguments = 0;
     std::size_t maxArguments = 0;
     std::string summary;
-    std::vector<std::string>
-        flags; ///< names of the flags that it uses, in addition to the general ones
+    std::vector<std::string> flags; ///< names of its flags, in addition to the general ones
     std::function<ExitCode(const ToolContext &, const std::vector<std::string> &)> run;
 };
 
