--- a/test/platform/admissiondispatchertest.cpp
+++ b/test/platform/admissiondispatchertest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Counts calls by address and answers none.
+/// Counts the calls to each address and answers none.
 class SilentMessenger : public Messenger
 {
 public:
@@ -38,25 +38,25 @@
     std::map<std::string, int> calls;
 };
 
-/// A dispatcher on a machine "me", and an admission service that answers nothing.
+/// A dispatcher on an instance "me", and an admission service that never answers.
 class DispatcherFixture
 {
 public:
     DispatcherFixture()
     {
         this->service.route("*", "/", [this](const HttpRequest &, HttpReply reply) {
-            this->held.push_back(std::move(reply));
+            this->pendingReplies.push_back(std::move(reply));
         });
         REQUIRE(this->service.start());
-        this->own = std::make_unique<AdmissionCaller>(
+        this->localCaller = std::make_unique<AdmissionCaller>(
             this->loop, this->client, "127.0.0.1:" + std::to_string(this->service.port()));
         this->dispatcher = std::make_unique<AdmissionDispatcher>(
-            this->loop, *this->own, this->messenger, this->presence, "me");
+            this->loop, *this->localCaller, this->messenger, this->presence, "me");
     }
     ~DispatcherFixture()
     {
         this->loop->stop();
-        this->held.clear();
+        this->pendingReplies.clear();
     }
 
     void ask(int questions, Milliseconds expected)
@@ -76,42 +76,45 @@
     std::shared_ptr<HttpClient> client =
         std::make_shared<HttpClient>(this->loop, HttpClientOptions());
     HttpServer service{{}};
-    std::vector<HttpReply> held;
+    std::vector<HttpReply> pendingReplies;
     SilentMessenger messenger;
     PresenceTable presence;
-    std::unique_ptr<AdmissionCaller> own;
+    std::unique_ptr<AdmissionCaller> localCaller;
     std::unique_ptr<AdmissionDispatcher> dispatcher;
     std::atomic<int> refused{0};
 };
 
 } // namespace
 
-TEST_CASE_METHOD(DispatcherFixture, "a new leader's questions wait in the plan, not at the service",
+TEST_CASE_METHOD(DispatcherFixture,
+                 "queries beyond what the only known instance may have pending fail at once",
                  "[admissions]")
 {
-    // A leader that has just taken over knows no other machine, and has every waiting step asked
-    // about at once. The service refuses what is beyond 32 questions, and the most urgent steps
-    // came last. What is too much is given back at once, to be asked in the order of urgency.
+    // A new leader knows of no other instance yet and sends queries for all waiting steps at once.
+    // The service rejects more than 32, and the queries of the most urgent steps came last. Excess
+    // queries have to fail at once, so that the controller can send them in order of urgency.
     this->ask(30, Milliseconds(1));
     CHECK(eventually([&] { return this->refused == 10; }));
     this->ask(1, Milliseconds(1));
     CHECK(eventually([&] { return this->refused == 11; }));
 }
 
-TEST_CASE_METHOD(DispatcherFixture, "no machine has more than it can answer soon", "[admissions]")
+TEST_CASE_METHOD(DispatcherFixture,
+                 "an instance has no more queries pending than the service answers within a second",
+                 "[admissions]")
 {
-    this->ask(5, Milliseconds(500)); // two take a second
+    this->ask(5, Milliseconds(500)); // two of them take 1 s
     CHECK(eventually([&] { return this->refused == 3; }));
 }
 
-TEST_CASE_METHOD(DispatcherFixture, "long questions leave a third of the machines to short ones",
+TEST_CASE_METHOD(DispatcherFixture, "a third of the instances is reserved for short queries",
                  "[admissions]")
 {
-    // With a question of half a second under way on each machine, a step that runs for 0.8 s would
-    // wait as long before it may start.
+    // With a query of 0.5 s pending on every instance, a step that runs for 0.8 s would wait 0.5 s
+    // before it could start.
     for (const char *other : {"a", "b", "c", "d", "e"})
         this->presence.record({other, other, false});
-    this->ask(20, Milliseconds(500)); // two each on four machines
+    this->ask(20, Milliseconds(500)); // two each on four instances
     CHECK(eventually([&] { return this->refused == 12; }));
     CHECK(this->messenger.callsTo("a") == 0);
     CHECK(this->messenger.callsTo("e") == 2);
--- a/test/platform/configurationdocumenttest.cpp
+++ b/test/platform/configurationdocumenttest.cpp
@@ -58,10 +58,10 @@
     CHECK(decoded.value().accountByKey.at("k2") == "t1");
     const Resources &limit = decoded.value().policy.accounts.at("t1").limit;
     CHECK(limit[ResourceKind::MilliCores] == 8000);
-    CHECK(limit[ResourceKind::MemoryMb] > 1000000000); // 0 means that there is none
+    CHECK(limit[ResourceKind::MemoryMb] > 1000000000); // 0 means unlimited
 }
 
-TEST_CASE("the longest prefix of the host's routes wins", "[configuration]")
+TEST_CASE("a path is matched by the route of its host with the longest prefix", "[configuration]")
 {
     const auto decoded = decodeConfiguration(document().dump());
     REQUIRE(decoded);
@@ -89,7 +89,7 @@
     CHECK(!decodeChanged([](Json &j) { j["Tenants"][0]["UpperBound"]["Cpu"] = -1; }));
 }
 
-TEST_CASE("what an account says twice is no shared key", "[configuration]")
+TEST_CASE("an account may list the same key twice", "[configuration]")
 {
     CHECK(decodeChanged([](nlohmann::json &j) { j["Tenants"][0]["ApiKeys"] = {"k1", "k1"}; }));
 }
--- a/test/platform/descriptorlimittest.cpp
+++ b/test/platform/descriptorlimittest.cpp
@@ -24,20 +24,20 @@
 
 namespace {
 
-/// Lowers what this process may open while it lives.
-class LowLimit
+/// Lowers the limit of this process's file descriptors during its lifetime.
+class LowDescriptorLimit
 {
 public:
-    explicit LowLimit(rlim_t descriptors)
+    explicit LowDescriptorLimit(rlim_t descriptors)
     {
         getrlimit(RLIMIT_NOFILE, &this->before);
         rlimit low = this->before;
         low.rlim_cur = descriptors;
         REQUIRE(setrlimit(RLIMIT_NOFILE, &low) == 0);
     }
-    ~LowLimit() { setrlimit(RLIMIT_NOFILE, &this->before); }
-    LowLimit(const LowLimit &) = delete;
-    LowLimit &operator=(const LowLimit &) = delete;
+    ~LowDescriptorLimit() { setrlimit(RLIMIT_NOFILE, &this->before); }
+    LowDescriptorLimit(const LowDescriptorLimit &) = delete;
+    LowDescriptorLimit &operator=(const LowDescriptorLimit &) = delete;
 
 private:
     rlimit before{};
@@ -59,11 +59,13 @@
 
 } // namespace
 
-// Guards against a journal that finds no descriptor because connections have taken them all.
-TEST_CASE("a full listener and 300 peers leave descriptors for a snapshot", "[descriptors]")
+// Guards against a journal that cannot open a file because connections have used up all
+// descriptors.
+TEST_CASE("a full listener and calls to 300 peers leave descriptors for a snapshot",
+          "[descriptors]")
 {
-    // Both ends of each connection are in this process: 2 x 24 of the listener's, 2 x 30 of the
-    // client's, and a few for the loops.
+    // Both ends of each connection are in this process: 2 x 24 descriptors for the listener, 2 x 30
+    // for the client, and a few for the loops.
     constexpr std::size_t listenerConnections = 24;
     constexpr std::size_t clientConnections = 30;
     const TemporaryFolder folder;
@@ -80,7 +82,7 @@
     HttpClientOptions options;
     options.maxConnections = clientConnections;
     auto client = std::make_unique<HttpClient>(loop, options);
-    const LowLimit limit(200);
+    const LowDescriptorLimit limit(200);
 
     boost::asio::io_context context;
     std::vector<boost::asio::ip::tcp::socket> callers;
@@ -115,14 +117,14 @@
     client.reset();
 }
 
-// Guards against a file that cannot be opened for want of descriptors and ends the replica.
-TEST_CASE("a write without a descriptor left may be tried again", "[descriptors]")
+// Guards against a replica that ends because a file cannot be opened while no descriptor is free.
+TEST_CASE("a write that fails because no descriptor is free can be repeated later", "[descriptors]")
 {
     const TemporaryFolder folder;
     PosixDisk disk(folder.path());
     REQUIRE(disk.append("open", "a"));
     {
-        const LowLimit limit(3); // what is open already stays open
+        const LowDescriptorLimit limit(3); // files that are already open stay open
         const auto refused = disk.append("new", "a");
         REQUIRE(!refused);
         CHECK(refused.error().code == ErrorCode::WriteRefused);
@@ -131,7 +133,8 @@
     CHECK(disk.append("new", "a"));
 }
 
-TEST_CASE("a machine's limit is divided by what it serves", "[descriptors]")
+TEST_CASE("the descriptor limit of a machine is divided according to whether it has a disk",
+          "[descriptors]")
 {
     const auto replica = nodeDescriptors(settingsOf(4324, true));
     REQUIRE(replica);
--- a/test/platform/faketarget.cpp
+++ b/test/platform/faketarget.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Milliseconds taskTime{50};
+constexpr Milliseconds taskDuration{50};
 
 HttpServerOptions listenOn(const std::string &address, std::shared_ptr<IoLoop> loop)
 {
@@ -20,7 +20,7 @@
 } // namespace
 
 FakeTarget::FakeTarget(std::string name, const std::string &address)
-    : ownName(std::move(name))
+    : targetName(std::move(name))
     , listenIp(address)
     , server(listenOn(address, this->loop))
 {
@@ -44,12 +44,12 @@
 
 std::int64_t FakeTarget::clockMs() const
 {
-    return 1 + std::chrono::duration_cast<Milliseconds>(monotonicNow() - this->born).count();
+    return 1 + std::chrono::duration_cast<Milliseconds>(monotonicNow() - this->startTime).count();
 }
 
-nlohmann::json FakeTarget::envelope() const
+nlohmann::json FakeTarget::commonFields() const
 {
-    return {{"ClockMs", this->clockMs()}, {"born", this->bornAtMs}};
+    return {{"ClockMs", this->clockMs()}, {"born", this->startedAtMs}};
 }
 
 std::string FakeTarget::heartbeat()
@@ -63,7 +63,7 @@
                           {"Sequence", ++this->sequence},
                           {"Capacity", {{"Cpu", 8000}, {"MemMb", 8000}}},
                           {"Labels", {"a", "r1-1"}},
-                          {"born", this->bornAtMs}}
+                          {"born", this->startedAtMs}}
         .dump();
 }
 
@@ -73,7 +73,7 @@
     const std::string task = body.at("TaskId");
     this->started.insert(task);
     this->running[task] = body.at("RunId");
-    this->loop->runAfter(taskTime, [this, task] {
+    this->loop->runAfter(taskDuration, [this, task] {
         const std::lock_guard again(this->mutex);
         const auto found = this->running.find(task);
         if (found == this->running.end())
@@ -81,7 +81,7 @@
         this->ends.push_back({++this->lastEnd, task, found->second, "done", ""});
         this->running.erase(found);
     });
-    return {200, {}, this->envelope().dump()};
+    return {200, {}, this->commonFields().dump()};
 }
 
 HttpResponse FakeTarget::stop(const nlohmann::json &body)
@@ -92,7 +92,7 @@
         this->ends.push_back({++this->lastEnd, task, found->second, "stopped", ""});
         this->running.erase(found);
     }
-    return {200, {}, this->envelope().dump()};
+    return {200, {}, this->commonFields().dump()};
 }
 
 HttpResponse FakeTarget::hold(const nlohmann::json &body)
@@ -104,7 +104,7 @@
                                         return end[0].get<std::uint64_t>() <= seen;
                                     }),
                      this->ends.end());
-    nlohmann::json answer = this->envelope();
+    nlohmann::json answer = this->commonFields();
     answer["Running"] = nlohmann::json::array();
     for (const auto &[task, run] : this->running)
         answer["Running"].push_back({task, run, "", 50});
--- a/test/platform/faketarget.h
+++ b/test/platform/faketarget.h
@@ -15,16 +15,16 @@
 
 namespace guavavalve::platform {
 
-/// A stand-in for one of the platform's workers: starts what it is told, ends it with success after
-/// a while, and lists both. It remembers each task's starts.
+/// A target of the platform: accepts every start, ends each run with success after a short time,
+/// and lists the running and the ended runs. Counts the starts of each task.
 class FakeTarget
 {
 public:
     FakeTarget(std::string name, const std::string &address);
 
-    const std::string &name() const { return this->ownName; }
+    const std::string &name() const { return this->targetName; }
     std::string address() const;
-    /// Its heartbeat, as the body of a call.
+    /// The body of its next heartbeat.
     std::string heartbeat();
     std::size_t startsOf(const std::string &task) const;
     std::size_t starts() const;
@@ -34,14 +34,14 @@
     HttpResponse stop(const nlohmann::json &body);
     HttpResponse hold(const nlohmann::json &body);
     std::int64_t clockMs() const;
-    nlohmann::json envelope() const;
+    nlohmann::json commonFields() const;
 
-    std::string ownName;
-    Instant born = monotonicNow();
-    std::int64_t bornAtMs = 1700000000000;
+    std::string targetName;
+    Instant startTime = monotonicNow();
+    std::int64_t startedAtMs = 1700000000000;
     std::shared_ptr<IoLoop> loop = std::make_shared<IoLoop>();
     mutable std::mutex mutex;
-    std::map<std::string, std::int64_t> running; ///< task to run
+    std::map<std::string, std::int64_t> running; ///< run number by task name
     std::vector<nlohmann::json> ends;
     std::uint64_t lastEnd = 0;
     std::uint64_t sequence = 0;
--- a/test/platform/heartbeattest.cpp
+++ b/test/platform/heartbeattest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-nlohmann::json beat()
+nlohmann::json heartbeat()
 {
     return nlohmann::json::parse(R"({"Service": "s", "Address": "127.0.0.9:80", "Zone": "z",
         "Version": "v1", "Slots": 8, "State": "ready", "ColdRemainingMs": 0,
@@ -21,7 +21,7 @@
 
 TEST_CASE("a heartbeat is decoded", "[heartbeat]")
 {
-    const auto report = decodeHeartbeat("i-1", beat().dump());
+    const auto report = decodeHeartbeat("i-1", heartbeat().dump());
     REQUIRE(report);
     CHECK(report.value().identity.name == "i-1");
     CHECK(report.value().identity.startedAtMs == 1700);
@@ -31,29 +31,30 @@
     CHECK(report.value().isReady);
     CHECK(report.value().sequence == 4);
     CHECK(report.value().coldFor == Milliseconds(0));
-    nlohmann::json cold = beat();
+    nlohmann::json cold = heartbeat();
     cold["ColdRemainingMs"] = 1200;
     CHECK(decodeHeartbeat("i-1", cold.dump()).value().coldFor == Milliseconds(1200));
-    nlohmann::json draining = beat();
+    nlohmann::json draining = heartbeat();
     draining["State"] = "draining";
     CHECK_FALSE(decodeHeartbeat("i-1", draining.dump()).value().isReady);
 }
 
-TEST_CASE("a report of another writer names no target", "[heartbeat]")
+TEST_CASE("a heartbeat with missing, mistyped or unknown values is rejected", "[heartbeat]")
 {
-    // Something else writes to the same address: fields are missing or of another type, the state
-    // is unknown, or the bytes are no text. A target made of it would be given work and lose it.
+    // Something other than a target sends to the same address: fields are missing or of another
+    // type, the state is unknown, or the body is not text. A target registered from such a request
+    // would be given work, which would be lost.
     CHECK(!decodeHeartbeat("i-1", std::string("\x00\xff{", 3)));
     CHECK(!decodeHeartbeat("i-1", "[]"));
     for (const char *field : {"Service", "Address", "Zone", "Sequence", "State"}) {
-        nlohmann::json missing = beat();
+        nlohmann::json missing = heartbeat();
         missing.erase(field);
         CHECK(!decodeHeartbeat("i-1", missing.dump()));
-        nlohmann::json other = beat();
+        nlohmann::json other = heartbeat();
         other[field] = nlohmann::json::array();
         CHECK(!decodeHeartbeat("i-1", other.dump()));
     }
-    nlohmann::json unknown = beat();
+    nlohmann::json unknown = heartbeat();
     unknown["State"] = "sleeping";
     CHECK(!decodeHeartbeat("i-1", unknown.dump()));
 }
--- a/test/platform/jobrequesttest.cpp
+++ b/test/platform/jobrequesttest.cpp
@@ -35,10 +35,10 @@
     CHECK(second.latencyTargetMs == 50);
     CHECK(second.maxUnavailable == 1);
     CHECK(second.need[ResourceKind::Accelerators] == 1);
-    CHECK(second.reserved()[ResourceKind::MilliCores] == 0); // it fills
+    CHECK(second.reserved()[ResourceKind::MilliCores] == 0); // backfill reserves none
 }
 
-TEST_CASE("a job that cannot be is refused, naming the field", "[job]")
+TEST_CASE("an invalid job is rejected, and the message names the field", "[job]")
 {
     for (const char *body :
          {"", "[]", "{}", R"({"Steps": []})", R"({"Steps": [{}]})",
@@ -55,7 +55,7 @@
     CHECK(wrong.error().message.find("Gang") != std::string::npos);
 }
 
-TEST_CASE("names of jobs and tasks are read back as they were written", "[job]")
+TEST_CASE("names of jobs and tasks are decoded to what they were encoded from", "[job]")
 {
     const auto id = decodeJobId("0c0e7a21d94b36f8");
     REQUIRE(id);
--- a/test/platform/nodesettingstest.cpp
+++ b/test/platform/nodesettingstest.cpp
@@ -34,13 +34,14 @@
     CHECK(node.controlAt("127.0.2.18:7420") == "127.0.2.18:8180");
     CHECK(node.isFirstStart);
     CHECK(node.failureDomains == std::vector<std::string>{"a", "b"});
-    CHECK(node.mayLose == 2);
-    CHECK(node.longestLease == Milliseconds(6000));
-    CHECK(node.grace == Milliseconds(6000));
+    CHECK(node.toleratedLosses == 2);
+    CHECK(node.maxLease == Milliseconds(6000));
+    CHECK(node.gracePeriod == Milliseconds(6000));
     CHECK(node.maxFiles == 4100);
 }
 
-TEST_CASE("settings that are missing or wrong are named", "[settings]")
+TEST_CASE("the error for missing settings names them, and invalid settings are rejected",
+          "[settings]")
 {
     for (const char *field : {"NodeName", "Ip", "Zone", "InternalPorts", "BindAddrs"}) {
         nlohmann::json missing = settings();
--- a/test/platform/wholepathtest.cpp
+++ b/test/platform/wholepathtest.cpp
@@ -28,8 +28,8 @@
     {"TaskCount": 3, "Cpu": 1000, "EstRuntimeMs": 50},
     {"TaskCount": 2, "Cpu": 1000, "EstRuntimeMs": 50, "DependsOn": [0], "Gang": true}]})";
 
-/// A part of the loopback network for this process alone: all machines of the platform have the
-/// same ports, and tests run side by side.
+/// A part of the loopback network that only this process uses: all machines of the platform use the
+/// same ports, and tests run in parallel.
 std::string ownNetwork()
 {
     constexpr int parts = 250;
@@ -38,26 +38,27 @@
         + ".";
 }
 
-/// Three machines with a disk and one entry, on addresses of the loopback network of their own.
+/// Three machines with a disk and one entry (a machine without a disk that serves callers), each
+/// with its own loopback address, and one target.
 class PlatformFixture
 {
 public:
     PlatformFixture()
-        : worker("i-1", this->net + "9")
+        : target("i-1", this->net + "9")
     {
         spdlog::set_level(spdlog::level::off);
         for (int i = 1; i <= 3; ++i)
             this->seeds.push_back(this->ipOf(i) + ":" + std::to_string(controlPort));
         for (int i = 1; i <= 3; ++i)
-            this->startCore(i);
-        this->startEdge();
+            this->startReplicaMachine(i);
+        this->startEntryMachine();
     }
 
     ~PlatformFixture()
     {
-        this->beating = false;
-        if (this->beats.valid())
-            this->beats.wait();
+        this->sendsHeartbeats = false;
+        if (this->heartbeatSender.valid())
+            this->heartbeatSender.wait();
         this->loop->stop();
         for (auto &node : this->nodes) {
             if (node)
@@ -80,11 +81,11 @@
         settings.metricsPort = 27421;
         settings.controlSeeds = this->seeds;
         settings.isFirstStart = true;
-        settings.mayLose = 1;
+        settings.toleratedLosses = 1;
         return settings;
     }
 
-    void startCore(int machine)
+    void startReplicaMachine(int machine)
     {
         NodeSettings core = this->settings(machine);
         core.servesControl = true;
@@ -93,7 +94,7 @@
         this->start(core);
     }
 
-    void startEdge()
+    void startEntryMachine()
     {
         NodeSettings edge = this->settings(9);
         edge.servesCallers = true;
@@ -129,25 +130,25 @@
         return response ? response.value() : HttpResponse{0, {}, response.error().message};
     }
 
-    HttpResponse control(const std::string &method, const std::string &path,
-                         const std::string &body = {})
+    HttpResponse callControl(const std::string &method, const std::string &path,
+                             const std::string &body = {})
     {
         return this->call(this->seeds[1], method, path, body);
     }
 
-    HttpResponse caller(const std::string &method, const std::string &path,
-                        const std::string &body = {}, const std::string &key = "key")
+    HttpResponse callEntry(const std::string &method, const std::string &path,
+                           const std::string &body = {}, const std::string &key = "key")
     {
         return this->call(this->ipOf(9) + ":28183", method, path, body, key);
     }
 
-    /// Sends the worker's heartbeats from now on.
-    void keepBeating()
+    /// Sends the target's heartbeats every 200 ms from now on.
+    void startHeartbeats()
     {
-        this->beating = true;
-        this->beats = std::async(std::launch::async, [this] {
-            while (this->beating) {
-                this->control("PUT", "/instances/i-1", this->worker.heartbeat());
+        this->sendsHeartbeats = true;
+        this->heartbeatSender = std::async(std::launch::async, [this] {
+            while (this->sendsHeartbeats) {
+                this->callControl("PUT", "/instances/i-1", this->target.heartbeat());
                 std::this_thread::sleep_for(std::chrono::milliseconds(200));
             }
         });
@@ -158,104 +159,115 @@
     std::vector<std::string> seeds;
     std::shared_ptr<IoLoop> loop = std::make_shared<IoLoop>();
     HttpClient client{this->loop, HttpClientOptions()};
-    FakeTarget worker;
+    FakeTarget target;
     std::vector<std::unique_ptr<Node>> nodes;
-    std::atomic<bool> beating{false};
-    std::future<void> beats;
+    std::atomic<bool> sendsHeartbeats{false};
+    std::future<void> heartbeatSender;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(PlatformFixture, "a job goes the whole way through the platform's interfaces",
-                 "[wholepath]")
+TEST_CASE_METHOD(
+    PlatformFixture,
+    "a job is submitted, run and reported as completed through the platform's interfaces",
+    "[wholepath]")
 {
-    CHECK(this->caller("POST", jobPath, jobBody).status == 503); // no configuration: it never runs
-    REQUIRE(
-        eventually([&] { return this->control("PUT", "/config", configuration).status == 200; }));
-    CHECK(this->control("PUT", "/config", configuration).status == 200); // sent again
-    CHECK(this->control("PUT", "/config", "{").status == 400);
-    CHECK(this->control("GET", "/config").body == configuration);
-    CHECK(this->control("PUT", "/instances/i-2", "{}").status == 400);
-    this->keepBeating();
-    REQUIRE(eventually([&] { return this->caller("POST", jobPath, jobBody).status == 200; }));
-    CHECK(this->caller("POST", jobPath, jobBody).status == 200); // it joins the first
-    CHECK(this->caller("POST", "/other/5c0e7a21d94b36f8", jobBody).status == 404);
-    CHECK(this->caller("GET", jobPath, "", "wrong").status == 401);
-    CHECK(this->caller("GET", "/q/0000000000000001").status == 410);
-    CHECK(this->caller("POST", "/q/0000000000000002", "{}").status == 400);
-    CHECK(eventually(
-        [&] { return this->caller("GET", jobPath).body.find("completed") != std::string::npos; }));
-    CHECK(this->worker.starts() == 5);
-    CHECK(this->worker.startsOf("5c0e7a21d94b36f8.0.1.1") == 1);
-    CHECK(this->caller("GET", "/q/").body == R"({"Pending":0})");
+    CHECK(this->callEntry("POST", jobPath, jobBody).status
+          == 503); // no configuration yet: the job never runs
+    REQUIRE(eventually(
+        [&] { return this->callControl("PUT", "/config", configuration).status == 200; }));
+    CHECK(this->callControl("PUT", "/config", configuration).status == 200); // a repetition
+    CHECK(this->callControl("PUT", "/config", "{").status == 400);
+    CHECK(this->callControl("GET", "/config").body == configuration);
+    CHECK(this->callControl("PUT", "/instances/i-2", "{}").status == 400);
+    this->startHeartbeats();
+    REQUIRE(eventually([&] { return this->callEntry("POST", jobPath, jobBody).status == 200; }));
+    CHECK(this->callEntry("POST", jobPath, jobBody).status == 200); // a repetition
+    CHECK(this->callEntry("POST", "/other/5c0e7a21d94b36f8", jobBody).status == 404);
+    CHECK(this->callEntry("GET", jobPath, "", "wrong").status == 401);
+    CHECK(this->callEntry("GET", "/q/0000000000000001").status == 410);
+    CHECK(this->callEntry("POST", "/q/0000000000000002", "{}").status == 400);
+    CHECK(eventually([&] {
+        return this->callEntry("GET", jobPath).body.find("completed") != std::string::npos;
+    }));
+    CHECK(this->target.starts() == 5);
+    CHECK(this->target.startsOf("5c0e7a21d94b36f8.0.1.1") == 1);
+    CHECK(this->callEntry("GET", "/q/").body == R"({"Pending":0})");
     CHECK(this->call(this->ipOf(9) + ":28184", "GET", "/readiness").status == 200);
 }
 
-TEST_CASE_METHOD(PlatformFixture, "an evacuated domain is given nothing until it is opened",
+TEST_CASE_METHOD(PlatformFixture,
+                 "an evacuated failure domain gets no jobs until the evacuation ends",
                  "[wholepath]")
 {
-    REQUIRE(
-        eventually([&] { return this->control("PUT", "/config", configuration).status == 200; }));
-    this->keepBeating();
-    CHECK(this->control("POST", "/evacuation/nowhere").status == 404);
-    CHECK(this->control("POST", "/evacuation/").status == 404);
-    CHECK(this->control("POST", "/evacuation/a", "{}").status == 400);
-    CHECK(this->control("GET", "/evacuation/a").status == 405);
-    CHECK(this->control("DELETE", "/evacuation/a").status == 200); // nothing to take back
-    CHECK(this->control("POST", "/evacuation/b").status == 200);
-    CHECK(this->control("POST", "/evacuation/b").status == 200);
-    // One domain is left, and it has the only target.
-    REQUIRE(eventually([&] { return this->caller("POST", jobPath, jobBody).status == 200; }));
-    CHECK(eventually(
-        [&] { return this->caller("GET", jobPath).body.find("completed") != std::string::npos; }));
-    CHECK(this->control("POST", "/evacuation/a").status == 200);
+    REQUIRE(eventually(
+        [&] { return this->callControl("PUT", "/config", configuration).status == 200; }));
+    this->startHeartbeats();
+    CHECK(this->callControl("POST", "/evacuation/nowhere").status == 404);
+    CHECK(this->callControl("POST", "/evacuation/").status == 404);
+    CHECK(this->callControl("POST", "/evacuation/a", "{}").status == 400);
+    CHECK(this->callControl("GET", "/evacuation/a").status == 405);
+    CHECK(this->callControl("DELETE", "/evacuation/a").status == 200); // was not evacuated
+    CHECK(this->callControl("POST", "/evacuation/b").status == 200);
+    CHECK(this->callControl("POST", "/evacuation/b").status == 200);
+    // Failure domain "a", which has the only target, is not evacuated.
+    REQUIRE(eventually([&] { return this->callEntry("POST", jobPath, jobBody).status == 200; }));
+    CHECK(eventually([&] {
+        return this->callEntry("GET", jobPath).body.find("completed") != std::string::npos;
+    }));
+    CHECK(this->callControl("POST", "/evacuation/a").status == 200);
     constexpr const char *laterJob = "/q/5c0e7a21d94b36f9";
-    const HttpResponse refused = this->caller("POST", laterJob, jobBody);
+    const HttpResponse refused = this->callEntry("POST", laterJob, jobBody);
     CHECK(refused.status == 503);
     CHECK(refused.headers.count("Retry-After") == 1);
-    CHECK(this->caller("POST", jobPath, jobBody).status == 200); // accepted before
-    CHECK(this->control("DELETE", "/evacuation/a").status == 200);
-    REQUIRE(eventually([&] { return this->caller("POST", laterJob, jobBody).status == 200; }));
-    CHECK(eventually(
-        [&] { return this->caller("GET", laterJob).body.find("completed") != std::string::npos; }));
+    CHECK(this->callEntry("POST", jobPath, jobBody).status == 200); // was accepted before
+    CHECK(this->callControl("DELETE", "/evacuation/a").status == 200);
+    REQUIRE(eventually([&] { return this->callEntry("POST", laterJob, jobBody).status == 200; }));
+    CHECK(eventually([&] {
+        return this->callEntry("GET", laterJob).body.find("completed") != std::string::npos;
+    }));
 }
 
-TEST_CASE_METHOD(PlatformFixture, "the configuration and the jobs outlive a machine", "[wholepath]")
+TEST_CASE_METHOD(PlatformFixture, "the configuration and the jobs survive the loss of a machine",
+                 "[wholepath]")
 {
-    // The machine that formed the group, and as a rule leads it, ends after a configuration and a
-    // job were acknowledged. The others show the same document, and the job is known and not run
-    // again.
-    REQUIRE(
-        eventually([&] { return this->control("PUT", "/config", configuration).status == 200; }));
-    this->keepBeating();
-    REQUIRE(eventually([&] { return this->caller("POST", jobPath, jobBody).status == 200; }));
-    this->beating = false;
-    this->beats.wait();
+    // The machine that formed the group, and usually leads it, shuts down after a configuration and
+    // a job were acknowledged. The others must return the same document, and must complete the job
+    // without starting any of its tasks twice.
+    REQUIRE(eventually(
+        [&] { return this->callControl("PUT", "/config", configuration).status == 200; }));
+    this->startHeartbeats();
+    REQUIRE(eventually([&] { return this->callEntry("POST", jobPath, jobBody).status == 200; }));
+    this->sendsHeartbeats = false;
+    this->heartbeatSender.wait();
     this->nodes[0]->shutDown();
     this->nodes[0].reset();
-    this->keepBeating();
-    CHECK(eventually([&] { return this->control("GET", "/config").body == configuration; }));
-    CHECK(eventually(
-        [&] { return this->caller("GET", jobPath).body.find("completed") != std::string::npos; }));
-    CHECK(this->worker.starts() == 5);
+    this->startHeartbeats();
+    CHECK(eventually([&] { return this->callControl("GET", "/config").body == configuration; }));
+    CHECK(eventually([&] {
+        return this->callEntry("GET", jobPath).body.find("completed") != std::string::npos;
+    }));
+    CHECK(this->target.starts() == 5);
 }
 
-TEST_CASE_METHOD(PlatformFixture, "what callers got is seen on the metrics addresses",
+TEST_CASE_METHOD(PlatformFixture,
+                 "answers to callers and outcomes of jobs are counted in the metrics",
                  "[wholepath]")
 {
-    REQUIRE(
-        eventually([&] { return this->control("PUT", "/config", configuration).status == 200; }));
-    this->keepBeating();
-    REQUIRE(eventually([&] { return this->caller("POST", jobPath, jobBody).status == 200; }));
     REQUIRE(eventually(
-        [&] { return this->caller("GET", jobPath).body.find("completed") != std::string::npos; }));
+        [&] { return this->callControl("PUT", "/config", configuration).status == 200; }));
+    this->startHeartbeats();
+    REQUIRE(eventually([&] { return this->callEntry("POST", jobPath, jobBody).status == 200; }));
+    REQUIRE(eventually([&] {
+        return this->callEntry("GET", jobPath).body.find("completed") != std::string::npos;
+    }));
     constexpr const char *waitingJob = "/q/5c0e7a21d94b36f9";
-    REQUIRE(this->caller("POST", waitingJob,
-                         R"({"TaskSpec": "x", "Steps": [{"TaskCount": 1, "Cpu": 1000,
+    REQUIRE(this->callEntry("POST", waitingJob,
+                            R"({"TaskSpec": "x", "Steps": [{"TaskCount": 1, "Cpu": 1000,
                              "EstRuntimeMs": 50, "Requirements": "a label that nobody has"}]})")
                 .status
             == 200);
-    REQUIRE(this->caller("DELETE", waitingJob).status == 200);
+    REQUIRE(this->callEntry("DELETE", waitingJob).status == 200);
     const auto shows = [this](int machine, const std::string &line) {
         const std::string text = this->call(this->ipOf(machine) + ":27421", "GET", "/metrics").body;
         return text.find("\n" + line) != std::string::npos;
@@ -278,17 +290,17 @@
     CHECK(shows(9, "guavavalve_ready 1"));
 }
 
-TEST_CASE_METHOD(PlatformFixture, "a control address takes messages of several megabytes",
+TEST_CASE_METHOD(PlatformFixture, "a control address accepts messages of several megabytes",
                  "[wholepath]")
 {
-    // An operator's configuration, or the heartbeat of a target with much to tell, is larger than
-    // any caller's request. It was refused with 413 on every control address, because these had
-    // the callers' bound of 1 MiB; the operator gave up, since a 413 ends its attempts.
+    // A configuration, or the heartbeat of a target with many fields, may be larger than any
+    // caller's request. Guards against control addresses with the callers' limit of 1 MiB: these
+    // answered 413, after which an operator does not retry.
     constexpr std::size_t twoMebibytes = 2U << 20U;
     const std::string padding(twoMebibytes, 'x');
     const std::string large =
         R"({"Padding": ")" + padding + "\"," + std::string(configuration).substr(1);
-    REQUIRE(eventually([&] { return this->control("PUT", "/config", large).status == 200; }));
-    CHECK(this->control("GET", "/config").body == large);
-    CHECK(this->caller("POST", jobPath, R"({"TaskSpec": ")" + padding + "\"}").status == 413);
+    REQUIRE(eventually([&] { return this->callControl("PUT", "/config", large).status == 200; }));
+    CHECK(this->callControl("GET", "/config").body == large);
+    CHECK(this->callEntry("POST", jobPath, R"({"TaskSpec": ")" + padding + "\"}").status == 413);
 }
