--- a/test/platform/admissiondispatchertest.cpp
+++ b/test/platform/admissiondispatchertest.cpp
@@ -59,10 +59,10 @@
         this->pendingReplies.clear();
     }
 
-    void ask(int questions, Milliseconds expected)
+    void ask(int queries, Milliseconds expected)
     {
-        this->loop->post([this, questions, expected] {
-            for (int i = 0; i < questions; ++i) {
+        this->loop->post([this, queries, expected] {
+            for (int i = 0; i < queries; ++i) {
                 this->dispatcher->ask(
                     {}, {"t"}, expected, monotonicNow() + std::chrono::seconds(20),
                     [this](const Result<workflows::AdmissionPort::Admitted> &answer) {
--- a/test/platform/wholepathtest.cpp
+++ b/test/platform/wholepathtest.cpp
@@ -176,13 +176,13 @@
           == 503); // no configuration yet: the job never runs
     REQUIRE(eventually(
         [&] { return this->callControl("PUT", "/config", configuration).status == 200; }));
-    CHECK(this->callControl("PUT", "/config", configuration).status == 200); // a repetition
+    CHECK(this->callControl("PUT", "/config", configuration).status == 200); // is idempotent
     CHECK(this->callControl("PUT", "/config", "{").status == 400);
     CHECK(this->callControl("GET", "/config").body == configuration);
     CHECK(this->callControl("PUT", "/instances/i-2", "{}").status == 400);
     this->startHeartbeats();
     REQUIRE(eventually([&] { return this->callEntry("POST", jobPath, jobBody).status == 200; }));
-    CHECK(this->callEntry("POST", jobPath, jobBody).status == 200); // a repetition
+    CHECK(this->callEntry("POST", jobPath, jobBody).status == 200); // is idempotent
     CHECK(this->callEntry("POST", "/other/5c0e7a21d94b36f8", jobBody).status == 404);
     CHECK(this->callEntry("GET", jobPath, "", "wrong").status == 401);
     CHECK(this->callEntry("GET", "/q/0000000000000001").status == 410);
@@ -294,8 +294,8 @@
                  "[wholepath]")
 {
     // A configuration, or the heartbeat of a target with many fields, may be larger than any
-    // caller's request. Guards against control addresses with the callers' limit of 1 MiB: these
-    // answered 413, after which an operator does not retry.
+    // caller's request. Guards against control addresses with the callers' limit of 1 MiB:
+    // such a limit is answered with 413, and operators do not retry after a 413.
     constexpr std::size_t twoMebibytes = 2U << 20U;
     const std::string padding(twoMebibytes, 'x');
     const std::string large =
