--- a/bench/path/loadgenerator.cpp
+++ b/bench/path/loadgenerator.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-constexpr Milliseconds drainLimit{20000};
+constexpr Milliseconds drainTimeout{20000};
 
 double milliseconds(Microseconds length)
 {
     return static_cast<double>(length.count()) / 1000.0;
 }
 
-/// Gathers outcomes from any thread.
+/// Collects request outcomes. Thread safe.
 class Collector
 {
 public:
-    void ended(Instant due, RequestOutcome outcome)
+    void record(Instant due, RequestOutcome outcome)
     {
         const Instant now = monotonicNow();
         const std::lock_guard lock(this->mutex);
@@ -48,7 +48,7 @@
     void waitFor(std::size_t sent)
     {
         std::unique_lock lock(this->mutex);
-        this->changed.wait_for(lock, drainLimit, [&] { return this->finished >= sent; });
+        this->changed.wait_for(lock, drainTimeout, [&] { return this->finished >= sent; });
         this->result.sent = sent;
         this->result.unknown += sent - this->finished;
     }
@@ -76,27 +76,27 @@
     LoadResult result;
 };
 
-void sendNext(const RequestSender &send, const std::shared_ptr<Collector> &collector,
-              const std::shared_ptr<std::atomic<std::uint64_t>> &sequence, Instant end)
+void sendUntilEnd(const RequestSender &send, const std::shared_ptr<Collector> &collector,
+                  const std::shared_ptr<std::atomic<std::uint64_t>> &sequence, Instant end)
 {
     const Instant due = monotonicNow();
     if (due >= end)
         return;
     const std::uint64_t number = sequence->fetch_add(1);
     send(number, [=](RequestOutcome outcome) {
-        collector->ended(due, outcome);
-        sendNext(send, collector, sequence, end);
+        collector->record(due, outcome);
+        sendUntilEnd(send, collector, sequence, end);
     });
 }
 
 } // namespace
 
-double LoadResult::percentile(double part) const
+double LoadResult::percentile(double fraction) const
 {
     if (this->latenciesMs.empty())
         return 0.0;
     const auto last = static_cast<double>(this->latenciesMs.size() - 1);
-    return this->latenciesMs[static_cast<std::size_t>(std::lround(part * last))];
+    return this->latenciesMs[static_cast<std::size_t>(std::lround(fraction * last))];
 }
 
 LoadResult runOpenLoop(const RequestSender &send, double rate, Milliseconds length)
@@ -109,7 +109,7 @@
         const Microseconds offset(static_cast<std::int64_t>(1e6 * static_cast<double>(i) / rate));
         const Instant due = began + offset;
         std::this_thread::sleep_until(due);
-        send(i, [collector, due](RequestOutcome outcome) { collector->ended(due, outcome); });
+        send(i, [collector, due](RequestOutcome outcome) { collector->record(due, outcome); });
     }
     collector->waitFor(count);
     return collector->take(began);
@@ -122,7 +122,7 @@
     const Instant began = monotonicNow();
     const Instant end = began + length;
     for (std::size_t i = 0; i < inFlight; ++i)
-        sendNext(send, collector, sequence, end);
+        sendUntilEnd(send, collector, sequence, end);
     std::this_thread::sleep_until(end);
     collector->waitFor(sequence->load());
     return collector->take(began);
--- a/bench/path/main.cpp
+++ b/bench/path/main.cpp
@@ -13,14 +13,14 @@
 #include <string>
 #include <vector>
 
-ABSL_FLAG(std::vector<std::string>, entries, {}, "entries (ip:port)");
-ABSL_FLAG(std::string, target, "", "a stand-in target (ip:port) to ask directly");
-ABSL_FLAG(uint64_t, incarnation, 1, "that target's incarnation");
-ABSL_FLAG(std::string, key, "", "the callers' key");
-ABSL_FLAG(double, rate, 200, "requests a second in the open loop");
-ABSL_FLAG(int, length_ms, 5000, "of each phase");
-ABSL_FLAG(int, in_flight, 64, "requests at once in the closed loop");
-ABSL_FLAG(std::string, only, "", "run only the phase of this name");
+ABSL_FLAG(std::vector<std::string>, entries, {}, "comma-separated entries (ip:port)");
+ABSL_FLAG(std::string, target, "", "stand-in target (ip:port) for the direct phases");
+ABSL_FLAG(uint64_t, incarnation, 1, "incarnation of the stand-in target");
+ABSL_FLAG(std::string, key, "", "key that authenticates the callers");
+ABSL_FLAG(double, rate, 200, "requests per second in the open loop");
+ABSL_FLAG(int, length_ms, 5000, "duration of each phase");
+ABSL_FLAG(int, in_flight, 64, "concurrent requests in the closed loop");
+ABSL_FLAG(std::string, only, "", "run only the phase with this name");
 
 using namespace guavavalve;
 
@@ -80,7 +80,8 @@
 
 RequestSender directly(const Clients &clients, std::uint64_t incarnation)
 {
-    // Task numbers beyond those of any shard's jobs, and other ones in each phase.
+    // These task numbers lie beyond those that any shard gives to jobs. The counter is shared by
+    // all phases, so that no phase reuses a number.
     static std::atomic<std::uint64_t> nextTask{std::uint64_t{0xfe} << 56U};
     return [clients, incarnation](std::uint64_t sequence,
                                   const std::function<void(RequestOutcome)> &done) {
@@ -107,7 +108,8 @@
 
 int main(int argc, char **argv)
 {
-    absl::SetProgramUsageMessage("measures a running cell against a target asked directly");
+    absl::SetProgramUsageMessage(
+        "compares the latency and throughput of a running cell with direct requests to a target");
     absl::ParseCommandLine(argc, argv);
     const std::vector<std::string> entries = absl::GetFlag(FLAGS_entries);
     const Clients all = connect(entries);
--- a/bench/state/statebench.cpp
+++ b/bench/state/statebench.cpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 /// \file
-/// Measures the replicated state: bytes a task and a target, commands a second, snapshots, and
-/// the bytes of a configuration change against the whole document. All in one process and one
-/// thread; bounded by its sizes.
+/// Measures the replicated state: memory per task and per target, commands per second, snapshots,
+/// and the size of a configuration change compared with the whole document. Runs in one process
+/// and one thread; the amount of work is fixed by Sizes.
 
 using namespace guavavalve;
 
@@ -50,8 +50,8 @@
     std::printf("%-58s %14.1f %s\n", what, value, unit);
 }
 
-/// Stops the bench if a command that it counts has been rejected.
-void must(const CommandOutcome &outcome)
+/// Exits if a measured command has been rejected.
+void requireSuccess(const CommandOutcome &outcome)
 {
     if (outcome.has_value())
         return;
@@ -64,7 +64,7 @@
     return "team" + std::to_string(number);
 }
 
-/// A section of the length that people write: about 600 bytes.
+/// A team section of realistic length: about 600 bytes.
 std::string teamContent(std::uint32_t share)
 {
     return R"({"description": "Draw-schedule builds and die-wear recalculations of one mill, with )"
@@ -92,7 +92,7 @@
         this->measureTargets();
         this->measureTasks();
         this->measureSnapshot();
-        this->measureEnds();
+        this->measureAttemptEnds();
     }
 
 private:
@@ -106,7 +106,7 @@
         command.baseVersion = base;
         command.author = "root";
         command.content = content;
-        must(this->state.apply(command));
+        requireSuccess(this->state.apply(command));
     }
 
     void grant(const std::string &key, const std::string &team, KeyRole role)
@@ -118,7 +118,7 @@
         command.role = role;
         command.keyedHash = std::string(64, 'a');
         command.label = "the key of " + team;
-        must(this->state.apply(command));
+        requireSuccess(this->state.apply(command));
     }
 
     void configure()
@@ -182,7 +182,7 @@
             command.failureDomain = "domain-" + std::to_string(i % 9);
             command.rack = "rack-" + std::to_string(i / 8);
             command.total = Resources{{16000, 32768, 2, 8, 64}};
-            must(this->state.apply(command));
+            requireSuccess(this->state.apply(command));
         }
         const double seconds = secondsSince(begin);
         report("targets", this->sizes.targets, "");
@@ -206,7 +206,7 @@
         return command;
     }
 
-    /// Commands go through the codec and as batches, as the log brings them.
+    /// Encodes, decodes and applies the commands in batches, as the replicated log delivers them.
     double applyAll(const std::vector<Command> &commands, const char *what)
     {
         constexpr std::size_t batchSize = 64;
@@ -220,7 +220,7 @@
             const std::string encoded = encodeBatch(batch).value();
             bytes += static_cast<double>(encoded.size());
             for (const CommandOutcome &outcome : this->state.apply(decodeBatch(encoded).value()))
-                must(outcome);
+                requireSuccess(outcome);
         }
         const double rate = static_cast<double>(commands.size()) / secondsSince(begin);
         report((std::string(what) + ", with encoding and decoding").c_str(), rate, "commands/s");
@@ -234,7 +234,7 @@
         const double before = heapBytes();
         const auto begin = startTiming();
         for (std::uint32_t i = 0; i < this->sizes.tasks; ++i)
-            must(this->state.apply(this->job(i)));
+            requireSuccess(this->state.apply(this->job(i)));
         report("tasks, one a job", this->sizes.tasks, "");
         report("accepting jobs, no codec", this->sizes.tasks / secondsSince(begin), "commands/s");
         std::vector<Command> places;
@@ -270,7 +270,7 @@
         report("restoring a snapshot, with its recount", secondsSince(begin) * 1e3, "ms");
     }
 
-    void measureEnds()
+    void measureAttemptEnds()
     {
         std::vector<Command> ends;
         for (const auto &[id, job] : this->state.jobs()) {
--- a/src/daemon/controllermetrics.cpp
+++ b/src/daemon/controllermetrics.cpp
@@ -26,7 +26,7 @@
     return target.evacuated ? "evacuated" : "ready";
 }
 
-void showTargets(ReplicaPart &replica, const Statistics &statistics, Metrics &into)
+void exportTargets(ReplicaRuntime &replica, const Statistics &statistics, Metrics &into)
 {
     std::map<std::string, std::uint32_t> counts;
     for (const char *state : targetStates)
@@ -43,24 +43,25 @@
         into.set(Metric::Targets, targets, {state});
 }
 
-/// How far a team with waiting work is below what is due to it.
-double shareDistance(const TeamStatistics &team)
+/// How far the share of a team with waiting tasks is below its fair share.
+double shareDeficit(const TeamStatistics &team)
 {
     return team.waiting > 0 ? std::max(0.0, team.fairShare - team.share) : 0.0;
 }
 
 } // namespace
 
-void ControllerMetrics::refresh(ReplicaPart &replica, Metrics &into)
+void ControllerMetrics::refresh(ReplicaRuntime &replica, Metrics &into)
 {
-    // A former leader has stale figures until it hears of its successor; the lease tells sooner.
+    // A former leader keeps stale statistics until it learns of its successor; the leader lease
+    // expires sooner.
     if (!replica.log().holdsLeaderLease()) {
-        this->showZeros(into);
+        this->clearGauges(into);
         return;
     }
     const Statistics statistics = replica.controller().statistics();
     into.set(Metric::PackingRatio, statistics.packing);
-    showTargets(replica, statistics, into);
+    exportTargets(replica, statistics, into);
     std::map<TeamId, std::string> names;
     replica.state().read([&names](const ClusterState &state) {
         for (const auto &[id, team] : state.teams())
@@ -72,13 +73,13 @@
             continue;
         this->teams.insert(name);
         into.set(Metric::TeamShareRatio, team.share, {name});
-        into.set(Metric::ShareDistanceRatio, shareDistance(team), {name});
+        into.set(Metric::ShareDistanceRatio, shareDeficit(team), {name});
         into.set(Metric::TasksPlaced, team.running, {name});
         into.set(Metric::TasksWaiting, team.waiting, {name});
     }
 }
 
-void ControllerMetrics::showZeros(Metrics &into) const
+void ControllerMetrics::clearGauges(Metrics &into) const
 {
     into.set(Metric::PackingRatio, 0.0);
     into.set(Metric::EvacuatedDomains, 0.0);
--- a/src/daemon/controllermetrics.h
+++ b/src/daemon/controllermetrics.h
@@ -6,20 +6,20 @@
 namespace guavavalve {
 
 class Metrics;
-class ReplicaPart;
+class ReplicaRuntime;
 
-/// The controller's gauges: teams, targets, packing. A replica that does not lead shows zeros: what
-/// it showed as controller is no longer true, and a series once made stays.
+/// The controller's gauges: teams, targets, packing. A replica that does not lead exports zeros:
+/// its former values are out of date, and a series cannot be removed once it has been created.
 class ControllerMetrics
 {
 public:
-    /// Not from several threads at once.
-    void refresh(ReplicaPart &replica, Metrics &into);
+    /// Updates the gauges in \a into. Not thread safe.
+    void refresh(ReplicaRuntime &replica, Metrics &into);
 
 private:
-    void showZeros(Metrics &into) const;
+    void clearGauges(Metrics &into) const;
 
-    std::set<std::string> teams; ///< that have been shown
+    std::set<std::string> teams; ///< names of the teams with an exported series
 };
 
 } // namespace guavavalve
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Milliseconds orderTimeout{1000};
-constexpr Milliseconds handOverTimeout{3000};
+constexpr Milliseconds handoverTimeout{3000};
 
 HttpServerOptions httpOptions(const DaemonSettings &settings)
 {
@@ -24,7 +24,8 @@
     options.port = static_cast<std::uint16_t>(std::stoul(settings.callersListen.substr(colon + 1)));
     options.maxBodyBytes = static_cast<std::size_t>(settings.maxBodyBytes);
     options.maxInFlight = static_cast<std::size_t>(settings.maxOpenRequests);
-    options.maxInFlightPerPeer = options.maxInFlight; // the balancer is one peer for all callers
+    // The load balancer is a single peer for all callers.
+    options.maxInFlightPerPeer = options.maxInFlight;
     return options;
 }
 
@@ -104,8 +105,8 @@
 {
     this->serveDispatch();
     if (this->settings.holdsReplica()) {
-        auto opened = ReplicaPart::open(this->settings, this->clusterSecret, this->messenger,
-                                        this->replicaHooks());
+        auto opened = ReplicaRuntime::open(this->settings, this->clusterSecret, this->messenger,
+                                           this->replicaHooks());
         if (!opened)
             return opened.error();
         this->replica = std::move(opened).value();
@@ -130,18 +131,18 @@
 {
     logEvent(LogLevel::Information, "shutdown begins", {{"instance", this->settings.instance}});
     this->readiness.beginShutdown();
-    // Until the balancer has seen that this instance is not ready it goes on sending requests;
-    // refusing them would turn callers away for nothing.
+    // The load balancer keeps sending requests until it has noticed that this instance is not
+    // ready. They are still served: rejecting them would fail callers needlessly.
     std::this_thread::sleep_for(Milliseconds(this->settings.shutdownNoticeMs));
     this->server.stopAccepting();
     const Instant deadline = monotonicNow() + Milliseconds(this->settings.shutdownGraceMs);
     if (!this->server.waitUntilIdle(deadline)) {
-        logEvent(LogLevel::Warning, "requests outlast the grace of the shutdown",
+        logEvent(LogLevel::Warning, "requests still open at the end of the shutdown grace period",
                  {{"open", std::to_string(this->server.inFlight())}});
     }
     this->follower->stop();
     if (this->replica)
-        this->replica->handOver(monotonicNow() + handOverTimeout);
+        this->replica->handOver(monotonicNow() + handoverTimeout);
     this->server.close();
     logEvent(LogLevel::Information, "shutdown ends", {{"instance", this->settings.instance}});
 }
@@ -161,9 +162,9 @@
         });
 }
 
-ReplicaPart::Hooks Daemon::replicaHooks()
+ReplicaRuntime::Hooks Daemon::replicaHooks()
 {
-    ReplicaPart::Hooks hooks;
+    ReplicaRuntime::Hooks hooks;
     hooks.sendOrders = [this](const std::string &address, const std::vector<DispatchOrder> &orders,
                               const Done<Nothing> &done) {
         this->messenger.call(address, Method::Dispatch, encode(orders),
@@ -217,8 +218,9 @@
     options.form = [this](const FormGroupRequest &request, Instant,
                           const Done<ReplicaStatus> &done) {
         if (!this->replica) {
-            done(failure(ErrorCode::InvalidArgument,
-                         "this instance has no data folder; ask one of the group's members"));
+            done(
+                failure(ErrorCode::InvalidArgument,
+                        "this instance has no replica; send the request to a member of the group"));
             return;
         }
         this->replica->log().form(request.members, [this, done](const Result<Nothing> &formed) {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -23,8 +23,8 @@
 
 namespace guavavalve {
 
-/// One instance: its entry, and its replica if it has a data folder. Composes the packages and
-/// holds no logic of its own.
+/// One instance: its entry, and its replica if a data folder is configured. Only wires the packages
+/// together and contains no logic of its own.
 class Daemon
 {
 public:
@@ -35,11 +35,11 @@
     Daemon &operator=(const Daemon &) = delete;
 
     /// Opens the data folder and the listeners.
-    /// \errors what could not be opened, and why.
+    /// \errors if the data folder or a listener cannot be opened; the message says which and why.
     Result<void> start();
 
-    /// Not ready first, then finishes what is open, hands over leadership and closes. No request
-    /// that has been taken is cut off, unless it outlasts the configured grace.
+    /// Reports not ready, completes the open requests, transfers leadership and closes. No accepted
+    /// request is aborted unless it is still open when the configured grace period ends.
     void shutDown();
 
 private:
@@ -47,19 +47,19 @@
     void addRoutes();
     void refreshMetrics(Metrics &into);
     void refreshReplicaMetrics(Metrics &into);
-    ReplicaPart::Hooks replicaHooks();
+    ReplicaRuntime::Hooks replicaHooks();
     OperatorRoutesOptions operatorRoutes();
 
     DaemonSettings settings;
     std::string clusterSecret;
     Metrics metrics;
-    std::mutex controllerMetricsMutex; ///< two scrapes may come at once
+    std::mutex controllerMetricsMutex; ///< scrapes may run concurrently
     ControllerMetrics controllerMetrics;
     Readiness readiness;
     TimerQueue timers;
     HttpServer server;
     TcpMessenger messenger;
-    std::unique_ptr<ReplicaPart> replica;
+    std::unique_ptr<ReplicaRuntime> replica;
     std::shared_ptr<ControllerLink> link;
     RemoteController controller;
     std::shared_ptr<ConfigurationFollower> follower;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -15,7 +15,7 @@
 #include <iterator>
 #include <string>
 
-ABSL_FLAG(std::string, settings, "", "path of the JSON settings");
+ABSL_FLAG(std::string, settings, "", "path of the JSON settings file");
 ABSL_FLAG(bool, help_settings, false, "print every setting with its type, range and default");
 
 using namespace guavavalve;
@@ -56,12 +56,12 @@
     const Logging logging(logOptions);
 
     initializeHttpThreads(static_cast<std::size_t>(settings.workerThreads));
-    std::promise<void> asked;
-    const SignalWatcher watcher([&asked](int) { asked.set_value(); });
+    std::promise<void> shutdownRequested;
+    const SignalWatcher watcher([&shutdownRequested](int) { shutdownRequested.set_value(); });
     Daemon daemon(settings, secret);
     if (const Result<void> started = daemon.start(); !started)
         return fail(exitCannotStart, started.error().message);
-    asked.get_future().wait();
+    shutdownRequested.get_future().wait();
     daemon.shutDown();
     return 0;
 }
--- a/src/daemon/replicaruntime.cpp
+++ b/src/daemon/replicaruntime.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::int64_t calendarMs()
+std::int64_t wallClockMs()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<Milliseconds>(now).count();
@@ -33,10 +33,10 @@
     return options;
 }
 
-ControllerOptions controllerOptions(const DaemonSettings &settings, ReplicaPart::Hooks hooks)
+ControllerOptions controllerOptions(const DaemonSettings &settings, ReplicaRuntime::Hooks hooks)
 {
     ControllerOptions options;
-    options.cellTime = calendarMs;
+    options.cellTime = wallClockMs;
     options.makeScheduler = [] { return std::make_unique<FairScheduler>(); };
     options.sendOrders = std::move(hooks.sendOrders);
     options.observeWait = std::move(hooks.observeWait);
@@ -48,44 +48,44 @@
 
 } // namespace
 
-ReplicaPart::ReplicaPart(Messenger &messenger)
+ReplicaRuntime::ReplicaRuntime(Messenger &messenger)
     : router(messenger)
 {}
 
-ReplicaPart::~ReplicaPart()
+ReplicaRuntime::~ReplicaRuntime()
 {
     this->stop();
 }
 
-Result<std::unique_ptr<ReplicaPart>> ReplicaPart::open(const DaemonSettings &settings,
-                                                       const std::string &clusterSecret,
-                                                       Messenger &messenger, Hooks hooks)
+Result<std::unique_ptr<ReplicaRuntime>> ReplicaRuntime::open(const DaemonSettings &settings,
+                                                             const std::string &clusterSecret,
+                                                             Messenger &messenger, Hooks hooks)
 {
-    std::unique_ptr<ReplicaPart> part(new ReplicaPart(messenger));
+    std::unique_ptr<ReplicaRuntime> runtime(new ReplicaRuntime(messenger));
     RaftOptions options = raftOptions(settings);
-    options.onLeadership = [raw = part.get()](bool leads, std::uint64_t) {
+    options.onLeadership = [raw = runtime.get()](bool leads, std::uint64_t) {
         raw->leadershipChanged(leads);
     };
-    options.spares = [raw = part.get()] { return raw->spares(); };
-    auto node = openRaftNode(std::move(options), part->router, part->machine);
+    options.spares = [raw = runtime.get()] { return raw->spares(); };
+    auto node = openRaftNode(std::move(options), runtime->router, runtime->machine);
     if (!node)
         return node.error();
-    part->node = std::move(node).value();
-    part->cell = std::make_unique<CellController>(controllerOptions(settings, std::move(hooks)),
-                                                  *part->node, part->machine);
-    part->operators = std::make_unique<OperatorService>(
-        operatorHooks(*part->cell, part->machine, *part->node, clusterSecret));
-    serveController(messenger, *part->cell, *part->operators);
-    part->cell->start();
-
-    const std::lock_guard lock(part->mutex);
-    part->ready = true;
-    if (part->leads)
-        part->cell->leadershipChanged(true);
-    return part;
+    runtime->node = std::move(node).value();
+    runtime->cell = std::make_unique<CellController>(controllerOptions(settings, std::move(hooks)),
+                                                     *runtime->node, runtime->machine);
+    runtime->operators = std::make_unique<OperatorService>(
+        operatorHooks(*runtime->cell, runtime->machine, *runtime->node, clusterSecret));
+    serveController(messenger, *runtime->cell, *runtime->operators);
+    runtime->cell->start();
+
+    const std::lock_guard lock(runtime->mutex);
+    runtime->ready = true;
+    if (runtime->leads)
+        runtime->cell->leadershipChanged(true);
+    return runtime;
 }
 
-void ReplicaPart::leadershipChanged(bool nowLeads)
+void ReplicaRuntime::leadershipChanged(bool nowLeads)
 {
     const std::lock_guard lock(this->mutex);
     this->leads = nowLeads;
@@ -93,13 +93,14 @@
         this->cell->leadershipChanged(nowLeads);
 }
 
-std::vector<ReplicaMember> ReplicaPart::spares()
+std::vector<ReplicaMember> ReplicaRuntime::spares()
 {
     const std::lock_guard lock(this->mutex);
     std::vector<ReplicaMember> found;
     if (!this->ready)
         return found;
-    // Only instances that the controller hears from; the log leaves out its own members.
+    // Only instances that currently report to the controller. The log itself skips those that are
+    // members already.
     for (const EntryInfo &entry : this->cell->entries()) {
         if (entry.holdsReplica && !entry.address.empty())
             found.push_back({entry.instance, entry.address});
@@ -107,16 +108,17 @@
     return found;
 }
 
-void ReplicaPart::handOver(Instant deadline)
+void ReplicaRuntime::handOver(Instant deadline)
 {
     if (this->node->status().role != ReplicaRole::Leader)
         return;
-    auto handed = std::make_shared<std::promise<void>>();
-    this->node->transferLeadership([handed](const Result<Nothing> &) { handed->set_value(); });
-    handed->get_future().wait_for(untilDeadline(deadline));
+    auto transferFinished = std::make_shared<std::promise<void>>();
+    this->node->transferLeadership(
+        [transferFinished](const Result<Nothing> &) { transferFinished->set_value(); });
+    transferFinished->get_future().wait_for(untilDeadline(deadline));
 }
 
-void ReplicaPart::stop()
+void ReplicaRuntime::stop()
 {
     if (this->node)
         this->node->stop();
--- a/src/daemon/replicaruntime.h
+++ b/src/daemon/replicaruntime.h
@@ -16,9 +16,9 @@
 
 class Messenger;
 
-/// What an instance with a data folder has beside its entry: a replica of the log, and the
-/// controller that works while the replica leads.
-class ReplicaPart
+/// The replica of an instance that has a data folder: a member of the replicated log, and the
+/// controller, which is active while this replica leads.
+class ReplicaRuntime
 {
 public:
     struct Hooks
@@ -29,26 +29,25 @@
             observeWait;
     };
 
-    /// Opens the data folder and registers the calls it serves with \a messenger, which is
-    /// started afterwards and outlives this.
-    /// \errors those of openRaftNode().
-    static Result<std::unique_ptr<ReplicaPart>> open(const DaemonSettings &settings,
-                                                     const std::string &clusterSecret,
-                                                     Messenger &messenger, Hooks hooks);
-    ~ReplicaPart();
-    ReplicaPart(const ReplicaPart &) = delete;
-    ReplicaPart &operator=(const ReplicaPart &) = delete;
+    /// Opens the data folder and registers the RPC handlers with \a messenger. The messenger must
+    /// be started afterwards and must outlive this object. \errors those of openRaftNode().
+    static Result<std::unique_ptr<ReplicaRuntime>> open(const DaemonSettings &settings,
+                                                        const std::string &clusterSecret,
+                                                        Messenger &messenger, Hooks hooks);
+    ~ReplicaRuntime();
+    ReplicaRuntime(const ReplicaRuntime &) = delete;
+    ReplicaRuntime &operator=(const ReplicaRuntime &) = delete;
 
     ReplicatedLog &log() { return *this->node; }
     CellController &controller() { return *this->cell; }
     const ClusterStateMachine &state() const { return this->machine; }
 
-    /// Hands leadership over if this replica leads, waiting for it until \a deadline.
+    /// Transfers leadership to another replica if this one leads; waits until \a deadline at most.
     void handOver(Instant deadline);
     void stop();
 
 private:
-    explicit ReplicaPart(Messenger &messenger);
+    explicit ReplicaRuntime(Messenger &messenger);
 
     void leadershipChanged(bool leads);
     std::vector<ReplicaMember> spares();
@@ -59,8 +58,8 @@
     std::unique_ptr<CellController> cell;
     std::unique_ptr<OperatorService> operators;
     std::mutex mutex;
-    bool leads = false; ///< as last told; the controller may not have been made yet
-    bool ready = false;
+    bool leads = false; ///< as last reported by the log, possibly before the controller exists
+    bool ready = false; ///< the controller exists and has been started
 };
 
 } // namespace guavavalve
--- a/test/scenarios/cell.cpp
+++ b/test/scenarios/cell.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr std::chrono::seconds patience{60};
-constexpr std::chrono::milliseconds pollPause{50};
+constexpr std::chrono::seconds waitTimeout{60};
+constexpr std::chrono::milliseconds pollInterval{50};
 
-/// A port on which nobody listens, below those that systems give to clients: one that was free a
-/// moment ago could else be taken by any connection before its listener has started.
+/// A free port below the ephemeral range: a free ephemeral port could be taken by any outgoing
+/// connection before its listener has started.
 std::uint16_t freePort()
 {
     constexpr std::uint16_t lowest = 10000;
@@ -49,11 +49,11 @@
 
 void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + waitTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
-            throw std::runtime_error("waited in vain until " + what);
-        std::this_thread::sleep_for(pollPause);
+            throw std::runtime_error("timed out waiting until " + what);
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
@@ -83,7 +83,7 @@
     return list;
 }
 
-std::string Cell::tool(const std::string &arguments, const std::string &withKey, int &status)
+std::string Cell::runTool(const std::string &arguments, const std::string &withKey, int &status)
 {
     return runCommand(this->build + "/guavavalve " + arguments + " --server=" + this->servers()
                           + " '--key=" + withKey + "'",
@@ -93,7 +93,7 @@
 std::string Cell::operate(const std::string &arguments)
 {
     int status = 0;
-    std::string printed = this->tool(arguments, this->operatorKey, status);
+    std::string printed = this->runTool(arguments, this->operatorKey, status);
     if (status != 0)
         throw std::runtime_error("the tool's " + arguments + " failed: " + printed);
     return printed;
@@ -153,14 +153,15 @@
         members += " " + this->entryName(i) + "=" + local(this->entries[i].messengerPort);
     const std::string clusterKey = "cluster-secret:" + this->secret;
     int status = 1;
-    // A formation that fails keeps its members reserved for 10 s, and asking again at once through
-    // another entry reserves them anew; so all are up first, and a failed try is given its time.
+    // A failed formation keeps its members reserved for 10 s, and an immediate retry through
+    // another entry reserves them anew. So all entries must be up first, and a failed attempt is
+    // retried only after its reservation has expired.
     constexpr std::chrono::seconds reservation{11};
     for (int i = 1; i <= this->entryCount(); ++i)
         waitUntil("entry " + std::to_string(i) + " is up",
                   [&] { return this->isUp(i, "/healthz"); });
     waitUntil("the group is formed", [&] {
-        const std::string printed = this->tool("form" + members, clusterKey, status);
+        const std::string printed = this->runTool("form" + members, clusterKey, status);
         if (status == 0)
             return true;
         std::cout << "form: " << printed << std::endl;
@@ -168,13 +169,13 @@
         return false;
     });
     waitUntil("an operator's key is granted", [&] {
-        this->operatorKey = this->tool("keys grant --role=operator", clusterKey, status);
+        this->operatorKey = this->runTool("keys grant --role=operator", clusterKey, status);
         return status == 0;
     });
     const std::string section = this->folder + "/team.section";
     std::ofstream(section) << R"({"description": "the stories' team", "share": 100})";
     waitUntil("the team is configured", [&] {
-        this->tool("config set team.mill " + section, this->operatorKey, status);
+        this->runTool("config set team.mill " + section, this->operatorKey, status);
         return status == 0;
     });
     this->key = this->operate("keys grant --team=mill");
@@ -244,13 +245,13 @@
 int Cell::controller()
 {
     int leader = 0;
-    waitUntil("somebody leads", [&] {
+    waitUntil("a replica leads", [&] {
         int status = 0;
-        const std::string printed = this->tool("replicas status", this->operatorKey, status);
-        const std::string mark = "leader entry-";
-        const std::size_t at = printed.find(mark);
+        const std::string printed = this->runTool("replicas status", this->operatorKey, status);
+        const std::string prefix = "leader entry-";
+        const std::size_t at = printed.find(prefix);
         if (status == 0 && at != std::string::npos)
-            leader = std::atoi(printed.c_str() + at + mark.size());
+            leader = std::atoi(printed.c_str() + at + prefix.size());
         return leader > 0;
     });
     return leader;
@@ -266,7 +267,7 @@
     return "http://" + local(this->targets.at(static_cast<std::size_t>(number - 1)).port);
 }
 
-std::vector<std::string> Cell::ledgerLines() const
+std::vector<std::string> Cell::startLogLines() const
 {
     std::vector<std::string> lines;
     for (std::size_t i = 1; i <= this->targets.size(); ++i) {
--- a/test/scenarios/cell.h
+++ b/test/scenarios/cell.h
@@ -11,41 +11,43 @@
 
 namespace scenarios {
 
-/// Polls \a condition; throws with \a what if it does not come true within a long patience.
+/// Polls \a condition until it holds.
+/// Throws std::runtime_error, naming \a what, if it does not hold within 60 s.
 void waitUntil(const std::string &what, const std::function<bool()> &condition);
 
-/// A small cell of separate processes: entries with replicas, and stand-in targets behind
+/// A small cell of separate processes: entries that hold replicas, and stand-in targets behind
 /// forwarders.
 class Cell
 {
 public:
-    /// \a build: the folder of the programs; \a folder: an empty one for settings, data and logs.
+    /// \a build: the folder with the programs; \a folder: an empty folder for settings, data and
+    /// logs.
     Cell(std::string build, std::string folder);
     ~Cell();
 
-    /// Starts \a count entries, each with a replica, forms the group, configures one team and
-    /// grants its key.
+    /// Starts \a count entries, each with a replica, forms the replica group, configures one team
+    /// and grants a key for it.
     void startEntries(int count);
-    /// Starts \a count targets with \a flags, and waits until they are ready.
+    /// Starts \a count targets with the additional \a flags and waits until all are ready.
     void startTargets(int count, const std::vector<std::string> &flags);
 
     ChildProcess &entry(int number); ///< from 1
     ChildProcess &target(int number); ///< from 1
-    Forwarder &forwarder(int number); ///< of target \a number
+    Forwarder &forwarder(int number); ///< in front of target \a number
     void restartEntry(int number);
     void restartTarget(int number);
-    /// The number of the entry whose replica leads.
+    /// The number of the entry whose replica leads; waits until one does.
     int controller();
     std::string entryUrl(int number) const;
     /// True if entry \a number answers \a path with 200.
     bool isUp(int number, const std::string &path) const;
-    std::string targetUrl(int number) const; ///< past the forwarder
+    std::string targetUrl(int number) const; ///< bypasses the forwarder
     int entryCount() const { return static_cast<int>(this->entries.size()); }
     int targetCount() const { return static_cast<int>(this->targets.size()); }
     const std::string &callerKey() const { return this->key; }
-    /// The lines of all targets' ledgers.
-    std::vector<std::string> ledgerLines() const;
-    /// Runs the tool as an operator; throws if it fails.
+    /// The lines of all targets' start logs.
+    std::vector<std::string> startLogLines() const;
+    /// Runs the command-line tool with the operator's key; throws std::runtime_error if it fails.
     std::string operate(const std::string &arguments);
 
 private:
@@ -65,7 +67,7 @@
 
     void writeSettings(std::size_t index) const;
     void formAndConfigure();
-    std::string tool(const std::string &arguments, const std::string &withKey, int &status);
+    std::string runTool(const std::string &arguments, const std::string &withKey, int &status);
     std::string servers() const;
     std::string logPath(const std::string &name) const;
     std::string entryName(std::size_t index) const;
--- a/test/scenarios/childprocess.cpp
+++ b/test/scenarios/childprocess.cpp
@@ -26,7 +26,7 @@
         const int log = open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         dup2(log, STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        // Ends with the runner, also when that is killed by a test's time limit.
+        // The child is killed when the runner ends, also if a test timeout kills the runner.
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         execv(argv[0], argv.data());
         _exit(127);
--- a/test/scenarios/childprocess.h
+++ b/test/scenarios/childprocess.h
@@ -6,21 +6,21 @@
 
 namespace scenarios {
 
-/// A process that the runner started, and that it ends with itself.
+/// A child process of the scenario runner; killed on destruction and when the runner ends.
 class ChildProcess
 {
 public:
-    /// Starts \a arguments; its output goes to the end of the file \a logPath.
+    /// Starts the program \a arguments[0]; its output is appended to the file \a logPath.
     ChildProcess(std::vector<std::string> arguments, const std::string &logPath);
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
-    void kill(); ///< SIGKILL, and waits
-    void terminate(); ///< SIGTERM, and waits until it has ended by itself
-    void freeze(); ///< SIGSTOP
-    void thaw(); ///< SIGCONT
-    bool isRunning(); ///< and not frozen
+    void kill(); ///< sends SIGKILL and waits for the end
+    void terminate(); ///< sends SIGTERM and waits for the end
+    void freeze(); ///< sends SIGSTOP
+    void thaw(); ///< sends SIGCONT
+    bool isRunning(); ///< false while frozen
 
 private:
     void wait();
@@ -29,7 +29,8 @@
     bool frozen = false;
 };
 
-/// Runs \a command in a shell to its end and returns what it printed; \a status is its own.
+/// Runs \a command in a shell and returns its output without trailing newlines. \a status receives
+/// the wait status as returned by pclose(); 0 is success.
 std::string runCommand(const std::string &command, int &status);
 
 } // namespace scenarios
--- a/test/scenarios/forwarder.cpp
+++ b/test/scenarios/forwarder.cpp
@@ -15,7 +15,7 @@
 
 using boost::asio::ip::tcp;
 
-/// A caller's connection and the one to the target.
+/// The connection from a caller and the matching one to the target.
 struct Link : std::enable_shared_from_this<Link>
 {
     explicit Link(boost::asio::io_context &context)
@@ -25,30 +25,30 @@
 
     tcp::socket caller;
     tcp::socket target;
-    std::array<char, 16384> forth{};
-    std::array<char, 16384> back{};
-    bool swallowsForth = false;
-    bool swallowsBack = false;
-    bool holds = false;
-    std::string held;
+    std::array<char, 16384> requestBuffer{};
+    std::array<char, 16384> replyBuffer{};
+    bool discardsRequests = false;
+    bool discardsReplies = false;
+    bool holdsRequests = false;
+    std::string heldRequests;
 
     void pump(tcp::socket &from, tcp::socket &to, std::array<char, 16384> &buffer,
-              const bool &swallows)
+              const bool &discards)
     {
         auto self = this->shared_from_this();
         from.async_read_some(
             boost::asio::buffer(buffer),
-            [self, &from, &to, &buffer, &swallows](const auto &error, std::size_t bytes) {
-                if (swallows) {
-                    // Nothing goes on, not even the end of the connection.
+            [self, &from, &to, &buffer, &discards](const auto &error, std::size_t bytes) {
+                if (discards) {
+                    // Nothing is passed on, not even the end of the connection.
                     if (!error)
-                        self->pump(from, to, buffer, swallows);
+                        self->pump(from, to, buffer, discards);
                     return;
                 }
-                if (self->holds && &from == &self->caller) {
-                    self->held.append(buffer.data(), bytes);
+                if (self->holdsRequests && &from == &self->caller) {
+                    self->heldRequests.append(buffer.data(), bytes);
                     if (!error)
-                        self->pump(from, to, buffer, swallows);
+                        self->pump(from, to, buffer, discards);
                     return;
                 }
                 if (error) {
@@ -57,22 +57,22 @@
                 }
                 boost::asio::async_write(
                     to, boost::asio::buffer(buffer.data(), bytes),
-                    [self, &from, &to, &buffer, &swallows](const auto &failed, std::size_t) {
+                    [self, &from, &to, &buffer, &discards](const auto &failed, std::size_t) {
                         if (failed)
                             self->close();
                         else
-                            self->pump(from, to, buffer, swallows);
+                            self->pump(from, to, buffer, discards);
                     });
             });
     }
 
     void release()
     {
-        if (!this->holds)
+        if (!this->holdsRequests)
             return;
-        this->holds = false;
+        this->holdsRequests = false;
         auto self = this->shared_from_this();
-        boost::asio::async_write(this->target, boost::asio::buffer(this->held),
+        boost::asio::async_write(this->target, boost::asio::buffer(this->heldRequests),
                                  [self](const auto &, std::size_t) {});
     }
 
@@ -86,7 +86,7 @@
 
 } // namespace
 
-/// All of it runs on the forwarder's own thread; commands are posted to it.
+/// Runs entirely on the forwarder's own thread; commands are posted to that thread.
 struct Forwarder::Private
 {
     explicit Private(std::uint16_t targetPort)
@@ -97,7 +97,7 @@
     tcp::acceptor acceptor{context, {boost::asio::ip::address_v4::loopback(), 0}};
     std::uint16_t targetPort;
     bool isCut = false;
-    bool isHolding = false;
+    bool holdsNewLinks = false;
     std::set<std::shared_ptr<Link>> links;
     std::thread thread;
 
@@ -107,18 +107,18 @@
         this->acceptor.async_accept(link->caller, [this, link](const auto &error) {
             if (error)
                 return;
-            this->opened(link);
+            this->linkAccepted(link);
             this->accept();
         });
     }
 
-    void opened(const std::shared_ptr<Link> &link)
+    void linkAccepted(const std::shared_ptr<Link> &link)
     {
         if (this->isCut) {
             link->close();
             return;
         }
-        link->holds = this->isHolding;
+        link->holdsRequests = this->holdsNewLinks;
         link->target.async_connect(
             {boost::asio::ip::address_v4::loopback(), this->targetPort},
             [this, link](const auto &error) {
@@ -127,8 +127,8 @@
                     return;
                 }
                 this->links.insert(link);
-                link->pump(link->caller, link->target, link->forth, link->swallowsForth);
-                link->pump(link->target, link->caller, link->back, link->swallowsBack);
+                link->pump(link->caller, link->target, link->requestBuffer, link->discardsRequests);
+                link->pump(link->target, link->caller, link->replyBuffer, link->discardsReplies);
             });
     }
 
@@ -171,8 +171,8 @@
 {
     this->d->run([d = this->d] {
         for (const auto &link : d->links) {
-            link->swallowsForth = true;
-            link->swallowsBack = true;
+            link->discardsRequests = true;
+            link->discardsReplies = true;
         }
     });
 }
@@ -181,17 +181,17 @@
 {
     this->d->run([d = this->d] {
         for (const auto &link : d->links)
-            link->swallowsBack = true;
+            link->discardsReplies = true;
     });
 }
 
 void Forwarder::hold()
 {
-    // Connections that are open already would let the next request through.
+    // Open connections are held too, or they would let the next request through.
     this->d->run([d = this->d] {
-        d->isHolding = true;
+        d->holdsNewLinks = true;
         for (const auto &link : d->links)
-            link->holds = true;
+            link->holdsRequests = true;
     });
 }
 
@@ -207,7 +207,7 @@
 {
     this->d->run([d = this->d] {
         d->isCut = false;
-        d->isHolding = false;
+        d->holdsNewLinks = false;
     });
 }
 
--- a/test/scenarios/forwarder.h
+++ b/test/scenarios/forwarder.h
@@ -6,7 +6,7 @@
 
 namespace scenarios {
 
-/// Forwards TCP connections to one port, so that a story can cut and silence them.
+/// Forwards TCP connections to one local port and injects network faults into them.
 class Forwarder
 {
 public:
@@ -15,15 +15,15 @@
 
     std::uint16_t port() const;
 
-    /// Closes the connections that are open and refuses new ones, until heal().
+    /// Closes the open connections and, until heal(), each new one at once.
     void cut();
-    /// Swallows every byte of the connections that are open, for good; new ones work.
+    /// Permanently discards every byte on the open connections; new connections work.
     void silence();
-    /// Delivers what is sent to the target and swallows what it sends back, of the connections
-    /// that are open, for good; new ones work.
+    /// On the open connections, permanently delivers requests but discards the target's replies;
+    /// new connections work.
     void silenceReplies();
-    /// Keeps back what is sent to the target in connections that are open or opened until heal();
-    /// what was kept back arrives at release(), also if its sender has gone since.
+    /// Buffers what is sent to the target on the open connections and on those opened until heal().
+    /// release() delivers it, even if the sender has disconnected meanwhile.
     void hold();
     void release();
     void heal();
--- a/test/scenarios/main.cpp
+++ b/test/scenarios/main.cpp
@@ -22,7 +22,7 @@
     return path.string();
 }
 
-/// The last lines of each process' log, for whoever has to find out why a story failed.
+/// Prints the end of each process log and start log, to help find out why a story failed.
 void printLogs(const std::string &folder)
 {
     constexpr std::size_t shown = 2000;
@@ -39,7 +39,7 @@
     }
 }
 
-bool playAll(std::istream &script, const std::string &build, const std::string &folder)
+bool runStory(std::istream &script, const std::string &build, const std::string &folder)
 {
     scenarios::Cell cell(build, folder);
     scenarios::Story story(cell);
@@ -53,7 +53,7 @@
             std::chrono::steady_clock::now() - began);
         std::cout << elapsed.count() << " ms: " << line << std::endl;
         try {
-            story.play(line);
+            story.runLine(line);
         } catch (const std::exception &problem) {
             std::cerr << "line " << lineNumber << ": " << line << "\n  " << problem.what() << '\n';
             printLogs(folder);
@@ -78,8 +78,8 @@
     }
     std::signal(SIGPIPE, SIG_IGN);
     const std::string folder = newFolder();
-    const bool passed = playAll(script, argv[1], folder);
+    const bool passed = runStory(script, argv[1], folder);
     std::filesystem::remove_all(folder);
-    std::cout << (passed ? "story ended as told" : "story failed") << std::endl;
+    std::cout << (passed ? "story passed" : "story failed") << std::endl;
     return passed ? 0 : 1;
 }
--- a/test/scenarios/stories/cancellationwave.story
+++ b/test/scenarios/stories/cancellationwave.story
@@ -1,5 +1,5 @@
-# A wave of cancellations comes in while the controller is killed. Everything that was cancelled
-# ends, what was not cancelled is answered, and no slot is left taken.
+# Many jobs are cancelled while the controller is killed. Every cancelled job must end, every other
+# job must be answered, and no slot may stay occupied.
 start 3 entries
 start 2 targets
 post batch times=30 class=batch : runMs=1500
--- a/test/scenarios/stories/controllerandtargetlost.story
+++ b/test/scenarios/stories/controllerandtargetlost.story
@@ -1,5 +1,5 @@
-# The controller and a target are killed together. Repeatable work of that target is run
-# elsewhere, and what must not be repeated is not.
+# The controller and a target are killed together. Repeatable work of that target must be run
+# elsewhere, and work that must not be repeated must not be.
 start 3 entries
 start 3 targets
 submit order times=6 repeatable=false : runMs=2000
--- a/test/scenarios/stories/cutbeforestart.story
+++ b/test/scenarios/stories/cutbeforestart.story
@@ -1,6 +1,6 @@
-# A target cannot be reached from the entries when a confirmation is sent to it, but its
-# announcements go out. The task waits or goes elsewhere only once the target has promised never
-# to start it; it runs once at most.
+# The entries cannot reach a target when an order is sent to it, but its announcements still arrive.
+# The task may wait or move elsewhere only after the target has promised never to start it; it runs
+# at most once.
 start 3 entries
 start 1 targets
 cut target 1
--- a/test/scenarios/stories/entrykilledbeforesend.story
+++ b/test/scenarios/stories/entrykilledbeforesend.story
@@ -1,6 +1,6 @@
-# An entry is killed after its order's placement was committed and before a byte of it could reach
-# the target. Another entry takes over, has the target refuse the first attempt for ever, and the
-# order runs: exactly once.
+# An entry is killed after the placement of its order was committed and before any byte could reach
+# the target. Another entry takes over and has the target refuse the first attempt permanently; the
+# order must run exactly once.
 start 3 entries
 start 1 targets
 cut target 1
--- a/test/scenarios/stories/foreignanswers.story
+++ b/test/scenarios/stories/foreignanswers.story
@@ -1,5 +1,5 @@
-# A target replies for another attempt, late and out of order. Each caller gets the answer to its
-# own request or an honest failure.
+# One target replies in the name of another attempt, the other replies late and out of order. Each
+# caller must get the answer to its own request or a truthful failure.
 start 3 entries
 start 2 targets
 control target 1 : {"wrongAttempt": true}
--- a/test/scenarios/stories/frozencontroller.story
+++ b/test/scenarios/stories/frozencontroller.story
@@ -1,5 +1,5 @@
-# The controller is frozen while callers wait, and another takes over. When the old one wakes, its
-# decisions must change nothing: no order runs twice, and no target is given more than it has.
+# The controller is frozen while callers wait, and another replica takes over. When the old controller
+# resumes, its decisions must have no effect: no order runs twice and no target is overcommitted.
 start 3 entries
 start 3 targets
 submit order times=9 repeatable=false : runMs=1500
--- a/test/scenarios/stories/frozenentry.story
+++ b/test/scenarios/stories/frozenentry.story
@@ -1,6 +1,6 @@
-# An entry is frozen with its requests open, for longer than any lease. Its work is followed by
-# others. When it wakes, nothing may run a second time: it refuses truly until it has heard from
-# the controller again, and serves from then on.
+# An entry is frozen with open requests for longer than any lease, and other entries take over its
+# work. When it resumes, nothing may run a second time: it refuses requests truthfully until it has
+# heard from the controller again, and serves from then on.
 start 3 entries
 start 3 targets
 post order times=9 entry=1 repeatable=false : runMs=1500
--- a/test/scenarios/stories/halfanswers.story
+++ b/test/scenarios/stories/halfanswers.story
@@ -1,5 +1,5 @@
-# A target sends half of each answer, and another sends each twice over. No caller may be handed
-# such bytes as its answer; once the targets are mended, all is whole.
+# One target sends only half of each answer, the other sends each answer twice. No caller may get such
+# bytes as its answer; once the targets behave again, every answer must be complete.
 start 3 entries
 start 2 targets
 control target 1 : {"half": true}
--- a/test/scenarios/stories/killedcontroller.story
+++ b/test/scenarios/stories/killedcontroller.story
@@ -1,6 +1,6 @@
-# Supervisors wait for their status checks when the controller is killed. Each gets its own whole
-# answer or an honest refusal. Orders, which must not be repeated, run once at most; and what is
-# asked afterwards is served.
+# The controller is killed while callers wait for answers. Each caller must get its own complete
+# answer or a truthful refusal. Work that must not be repeated runs at most once, and later requests
+# are served.
 start 3 entries
 start 4 targets
 submit before times=12 repeatable=false : runMs=1500
--- a/test/scenarios/stories/latestart.story
+++ b/test/scenarios/stories/latestart.story
@@ -1,6 +1,7 @@
-# The start of an order hangs in a connection for so long that the entry asks again through new
-# ones. The target does not know the order, so it goes free and is started anew. Then the old
-# start arrives after all. The target has promised never to run it, or two shipments would leave.
+# The start request of an order is delayed in a connection for so long that the entry queries the
+# target through new connections. The target does not know the order, so it is released and started
+# anew. When the old request finally arrives, it must have no effect, because the target has
+# promised never to run that attempt; otherwise two shipments would leave.
 start 3 entries
 start 1 targets
 hold target 1
--- a/test/scenarios/stories/rollingrestart.story
+++ b/test/scenarios/stories/rollingrestart.story
@@ -1,5 +1,5 @@
-# Every entry in turn is asked to end while its callers wait, and started again. No request is cut
-# off: each one that was taken is answered whole.
+# Every entry in turn is terminated while its callers wait, and restarted. No accepted request may be
+# aborted: each one is answered completely.
 start 3 entries
 start 4 targets
 submit one times=6 entry=1 : runMs=800
--- a/test/scenarios/stories/silentconnections.story
+++ b/test/scenarios/stories/silentconnections.story
@@ -1,6 +1,6 @@
-# Something between the entries and the targets loses track of every open connection, while new
-# ones work. The starts did arrive. Every caller still gets its answer, and nothing is started
-# twice.
+# A middlebox between the entries and the targets drops the state of every open connection, while new
+# connections work. The start requests have arrived. Every caller must still get its answer, and
+# nothing may be started twice.
 start 3 entries
 start 3 targets
 submit warm times=9 : runMs=20
--- a/test/scenarios/stories/targetrestarts.story
+++ b/test/scenarios/stories/targetrestarts.story
@@ -1,5 +1,5 @@
-# A target is killed while it runs confirmations, and a new process takes its place. Nobody can
-# know how far they got: they are not run again, and nobody is told that they did not run.
+# A target is killed while it runs orders, and a new process takes its place. Nobody can know how far
+# the orders got: they must not be run again, and no caller may be told that they did not run.
 start 3 entries
 start 1 targets
 submit order times=4 repeatable=false : runMs=60000
--- a/test/scenarios/story.cpp
+++ b/test/scenarios/story.cpp
@@ -52,9 +52,9 @@
 
 Story::~Story() = default;
 
-void Story::play(const std::string &line)
+void Story::runLine(const std::string &line)
 {
-    // Everything after " : " is a payload or JSON, taken as it is.
+    // Everything after " : " is a payload or JSON and is used verbatim.
     const std::size_t colon = line.find(" : ");
     const std::string rest = colon == std::string::npos ? "" : line.substr(colon + 3);
     std::istringstream stream(line.substr(0, colon));
@@ -66,7 +66,7 @@
         return;
     }
     if (words.size() < 2)
-        fail("a line has a verb and what it is about");
+        fail("a line needs a verb and an argument");
     const std::string &verb = words[0];
     if (verb == "start")
         this->startProcesses(words);
@@ -95,7 +95,7 @@
     else if (words.at(2) == "targets")
         this->cell.startTargets(count, Words(words.begin() + 3, words.end()));
     else
-        fail("start what? entries or targets");
+        fail("start: expected \"entries\" or \"targets\", got \"" + words.at(2) + "\"");
 }
 
 void Story::submit(const Words &words, const std::string &payload, bool waits)
@@ -115,7 +115,7 @@
         else if (headerOfOption.count(option) != 0)
             headers[headerOfOption.at(option)] = value;
         else
-            fail("no such option: " + option);
+            fail("unknown option: " + option);
     }
     for (int i = 1; i <= count; ++i) {
         std::string name = words[1];
@@ -136,13 +136,13 @@
         if (this->cell.entry(number).isRunning())
             return number;
     }
-    fail("no entry runs");
+    fail("no entry is running");
 }
 
 void Story::cancel(const std::string &pattern)
 {
     for (const Submission *each : this->matching(pattern)) {
-        waitUntil("the cancellation of " + each->name() + " is taken", [&] {
+        waitUntil("the cancellation of " + each->name() + " is accepted", [&] {
             for (int i = 1; i <= this->cell.entryCount(); ++i) {
                 if (!this->cell.entry(i).isRunning())
                     continue;
@@ -184,7 +184,7 @@
     else if (verb == "restart")
         this->cell.restartEntry(which);
     else
-        fail("no such verb: " + verb);
+        fail("unknown verb: " + verb);
 }
 
 void Story::actOnConnections(const std::string &verb, const Words &words)
@@ -215,7 +215,7 @@
     const auto answer =
         fakes::callHttp("POST", this->cell.targetUrl(target) + "/control", {}, json);
     if (answer.status != 200)
-        fail("the target refused: " + answer.body);
+        fail("the target rejected the control request: " + answer.body);
 }
 
 bool Story::isFinished(const Submission &submission)
@@ -240,12 +240,12 @@
 void Story::waitFor(const Words &words)
 {
     if (words.size() < 4 || words[1] != "until")
-        fail("wait until started|answered|finished NAME, or wait until starts COUNT");
+        fail("usage: wait until started|answered|finished NAME, or wait until starts COUNT");
     const std::string &what = words[2];
     const std::string &pattern = words[3];
     if (what == "starts") {
         waitUntil("targets have started " + pattern, [&] {
-            return static_cast<int>(this->cell.ledgerLines().size()) >= number(pattern);
+            return static_cast<int>(this->cell.startLogLines().size()) >= number(pattern);
         });
         return;
     }
@@ -259,7 +259,7 @@
         return;
     }
     if (what == "seconds") {
-        // For what nobody tells: that bytes lie in a held connection.
+        // For conditions that cannot be observed, such as bytes buffered in a held connection.
         std::this_thread::sleep_for(std::chrono::seconds(number(pattern)));
         return;
     }
@@ -283,20 +283,20 @@
         return;
     }
     if (pattern == "no" && what == "overcommit") {
-        for (const std::string &line : this->cell.ledgerLines()) {
+        for (const std::string &line : this->cell.startLogLines()) {
             if (line.compare(0, 4, "over") == 0)
-                fail("a target was given more than it has: " + line);
+                fail("a target was overcommitted: " + line);
         }
         return;
     }
     for (const Submission *each : this->matching(pattern)) {
         waitUntil(each->name() + " is answered", [&] { return each->isAnswered(); });
         if (what == "answer" && !each->hasWholeAnswer())
-            fail("no whole answer: " + this->describe(*each));
+            fail("incomplete answer: " + this->describe(*each));
         if (what == "status" && std::to_string(each->answer().status) != words.at(3))
-            fail("another status: " + this->describe(*each));
+            fail("expected status " + words.at(3) + ": " + this->describe(*each));
         if (what == "ran" && each->bodyField("ran") != words.at(3))
-            fail("another outcome: " + this->describe(*each));
+            fail("expected \"ran\" to be \"" + words.at(3) + "\": " + this->describe(*each));
         if (what == "honest")
             this->expectHonest(*each);
     }
@@ -313,22 +313,23 @@
     }
 }
 
-/// A whole answer to what was started, or a refusal that is true.
+/// The reply must be the complete answer of a task that was started, or a refusal that is
+/// consistent with the targets' start logs.
 void Story::expectHonest(const Submission &submission) const
 {
     const std::size_t starts = this->startsOf(submission.name());
     const fakes::HttpAnswer answer = submission.answer();
     const std::string ran = submission.bodyField("ran");
     if (answer.status == 0)
-        return; // the entry was killed under it: the connection says nothing
+        return; // the entry was killed; a broken connection claims nothing
     if (answer.status == 200 && (!submission.hasWholeAnswer() || starts == 0))
-        fail("not its own whole answer: " + this->describe(submission));
+        fail("not the complete answer to its own request: " + this->describe(submission));
     if (ran == "no" && starts != 0)
-        fail("said not run, and ran: " + this->describe(submission));
+        fail("reported as not run, but was started: " + this->describe(submission));
     if (ran == "yes" && starts == 0)
-        fail("said run, and did not: " + this->describe(submission));
+        fail("reported as run, but was not started: " + this->describe(submission));
     if (answer.status != 200 && ran.empty())
-        fail("does not say whether it ran: " + this->describe(submission));
+        fail("the reply does not state whether the task ran: " + this->describe(submission));
 }
 
 std::vector<const Submission *> Story::matching(const std::string &pattern) const
@@ -339,13 +340,13 @@
             found.push_back(&each);
     }
     if (found.empty())
-        fail("nothing was submitted as " + pattern);
+        fail("no submission matches " + pattern);
     return found;
 }
 
 std::size_t Story::startsOf(const std::string &name) const
 {
-    const std::vector<std::string> lines = this->cell.ledgerLines();
+    const std::vector<std::string> lines = this->cell.startLogLines();
     const std::string mark = " id=" + name + " ";
     return static_cast<std::size_t>(
         std::count_if(lines.begin(), lines.end(), [&](const std::string &line) {
--- a/test/scenarios/story.h
+++ b/test/scenarios/story.h
@@ -9,15 +9,16 @@
 
 namespace scenarios {
 
-/// Plays a story, line by line; the language is described in stories/README.md.
+/// Interprets a story, which is a scenario script, line by line. stories/README.md describes the
+/// language.
 class Story
 {
 public:
     explicit Story(Cell &cell);
     ~Story();
 
-    /// Plays one line. Throws std::runtime_error, saying what was found, if it fails.
-    void play(const std::string &line);
+    /// Executes one line. Throws std::runtime_error with the observed result if the line fails.
+    void runLine(const std::string &line);
 
 private:
     using Words = std::vector<std::string>;
--- a/test/standin/announcer.cpp
+++ b/test/standin/announcer.cpp
@@ -33,11 +33,11 @@
     Milliseconds interval;
     Hooks hooks;
     std::atomic<bool> stopped{false};
-    std::atomic<std::size_t> turn{0};
+    std::atomic<std::size_t> entryIndex{0};
 
     void announce();
     void send(const Announcement &announcement);
-    void again(bool answered);
+    void scheduleNext(bool answered);
 };
 
 void Announcer::Private::announce()
@@ -45,7 +45,7 @@
     if (this->stopped)
         return;
     if (this->hooks.paused()) {
-        this->again(true);
+        this->scheduleNext(true);
         return;
     }
     this->send(this->hooks.describe());
@@ -55,11 +55,11 @@
 {
     web::http::client::http_client_config config;
     config.set_timeout(replyTimeout);
-    const std::string &entry = this->entries[this->turn % this->entries.size()];
+    const std::string &entry = this->entries[this->entryIndex % this->entries.size()];
     auto client =
         std::make_shared<web::http::client::http_client>(web::uri("http://" + entry), config);
-    // Counted from before the first byte leaves: whatever happens to it on the way, the
-    // controller's count begins later than ours.
+    // Taken before the first byte is sent: however long the request is delayed, the lease starts
+    // later at the controller than here.
     const Instant sentAt = monotonicNow();
     auto self = this->shared_from_this();
     client
@@ -67,7 +67,7 @@
                   announcementJson(announcement), "application/json")
         .then([](const web::http::http_response &response) {
             if (response.status_code() != web::http::status_codes::OK)
-                throw std::runtime_error("refused");
+                throw std::runtime_error("the entry rejected the announcement");
             return response.extract_utf8string(true);
         })
         .then([self, client, announcement, sentAt](const pplx::task<std::string> &body) {
@@ -80,19 +80,19 @@
             } catch (const std::exception &) {
                 answered = false;
             }
-            self->again(answered);
+            self->scheduleNext(answered);
         });
 }
 
-void Announcer::Private::again(bool answered)
+void Announcer::Private::scheduleNext(bool answered)
 {
     if (this->stopped)
         return;
     if (!answered)
-        ++this->turn;
-    constexpr std::int64_t retryShare = 4;
+        ++this->entryIndex;
+    constexpr std::int64_t retryDivisor = 4;
     auto self = this->shared_from_this();
-    this->timers.runAfter(answered ? this->interval : this->interval / retryShare,
+    this->timers.runAfter(answered ? this->interval : this->interval / retryDivisor,
                           [self] { self->announce(); });
 }
 
--- a/test/standin/announcer.h
+++ b/test/standin/announcer.h
@@ -14,19 +14,19 @@
 
 namespace standin {
 
-/// Announces a target to one entry after another: to the same one while it answers, to the next
-/// when it does not.
+/// Announces a target periodically. Stays with one entry while that entry answers and moves on to
+/// the next one when it does not.
 class Announcer
 {
 public:
     struct Hooks
     {
         std::function<guavavalve::Announcement()> describe;
-        /// The controller's answer, and when the announcement that it answers was sent.
+        /// Called with the controller's reply and the time at which its announcement was sent.
         std::function<void(const guavavalve::Announcement &sent, guavavalve::Instant sentAt,
                            const guavavalve::AnnouncementReply &reply)>
             answered;
-        std::function<bool()> paused; ///< as a frozen target is
+        std::function<bool()> paused; ///< true: skips announcements, like a frozen process
     };
 
     Announcer(guavavalve::TimerQueue &timers, std::vector<std::string> entries,
--- a/test/standin/attempttable.cpp
+++ b/test/standin/attempttable.cpp
@@ -1,7 +1,7 @@
 #include "standin/attempttable.h"
 
 #include "runtime/timerqueue.h"
-#include "standin/ledger.h"
+#include "standin/startlog.h"
 
 #include <atomic>
 #include <charconv>
@@ -12,72 +12,73 @@
 
 namespace {
 
-/// The number after "name=" in \a payload, or \a otherwise.
-std::int64_t numberIn(const std::string &payload, const std::string &name, std::int64_t otherwise)
+/// The number after "name=" in \a payload, or \a defaultValue.
+std::int64_t payloadNumber(const std::string &payload, const std::string &name,
+                           std::int64_t defaultValue)
 {
     const std::size_t at = payload.find(name + "=");
     if (at == std::string::npos)
-        return otherwise;
+        return defaultValue;
     const char *from = payload.data() + at + name.size() + 1;
-    std::int64_t value = otherwise;
+    std::int64_t value = defaultValue;
     std::from_chars(from, payload.data() + payload.size(), value);
     return value;
 }
 
 AttemptView endedView(AttemptOutcome outcome, std::string answer)
 {
-    return {Knowledge::Ended, outcome, std::move(answer)};
+    return {AttemptState::Ended, outcome, std::move(answer)};
 }
 
 } // namespace
 
-AttemptTable::AttemptTable(TimerQueue &timers, Ledger &ledger, Options options,
+AttemptTable::AttemptTable(TimerQueue &timers, StartLog &startLog, Options options,
                            Incarnation incarnation)
     : timers(timers)
-    , ledger(ledger)
+    , startLog(startLog)
     , options(options)
     , firstIncarnation(incarnation)
     , currentIncarnation(incarnation)
 {}
 
 void AttemptTable::start(AttemptId id, Incarnation wanted, const std::string &payload,
-                         Milliseconds waitFor, const Tell &tell)
+                         Milliseconds waitFor, const Callback &callback)
 {
     this->checkLease();
     const Key key{id.task, id.attempt};
     std::unique_lock lock(this->mutex);
     const auto found = this->attempts.find(key);
     if (found != this->attempts.end()) {
-        this->wait(std::move(lock), found->second, waitFor, tell);
+        this->wait(std::move(lock), found->second, waitFor, callback);
         return;
     }
     if (!this->isCurrent(wanted)) {
-        const AttemptView view = this->unknown(wanted);
+        const AttemptView view = this->staleIncarnationView(wanted);
         lock.unlock();
-        tell(view);
+        callback(view);
         return;
     }
     if (monotonicNow() >= this->leaseUntil) {
         lock.unlock();
-        tell({Knowledge::NoLease, AttemptOutcome::NeverStarted, {}});
+        callback({AttemptState::NoLease, AttemptOutcome::NeverStarted, {}});
         return;
     }
     Attempt &attempt = this->attempts[key];
-    attempt.view.knowledge = Knowledge::Running;
+    attempt.view.state = AttemptState::Running;
     this->run(key, wanted, payload);
-    this->wait(std::move(lock), attempt, waitFor, tell);
+    this->wait(std::move(lock), attempt, waitFor, callback);
 }
 
 void AttemptTable::run(const Key &key, Incarnation incarnation, const std::string &payload)
 {
-    this->ledger.started({key.first, key.second}, incarnation, payload);
-    this->runningNow.insert(key);
-    if (static_cast<std::int64_t>(this->runningNow.size()) > this->options.slots)
-        this->ledger.overcommitted({key.first, key.second});
+    this->startLog.recordStart({key.first, key.second}, incarnation, payload);
+    this->runningAttempts.insert(key);
+    if (static_cast<std::int64_t>(this->runningAttempts.size()) > this->options.slots)
+        this->startLog.recordOvercommit({key.first, key.second});
     const bool fails = this->failing || payload.find("fail") != std::string::npos;
     const AttemptOutcome outcome = fails ? AttemptOutcome::Failed : AttemptOutcome::Succeeded;
-    std::string answer = fails ? "failed as told" : this->answerTo(payload);
-    const std::int64_t runMs = numberIn(payload, "runMs", this->options.runMs);
+    std::string answer = fails ? "failed as instructed" : this->makeAnswer(payload);
+    const std::int64_t runMs = payloadNumber(payload, "runMs", this->options.runMs);
     auto self = this->shared_from_this();
     this->timers.runAfter(Milliseconds(runMs), [self, key, outcome, answer = std::move(answer)] {
         self->checkLease();
@@ -85,34 +86,34 @@
     });
 }
 
-std::string AttemptTable::answerTo(const std::string &payload) const
+std::string AttemptTable::makeAnswer(const std::string &payload) const
 {
     std::string answer = "answer to: " + payload;
-    const auto bytes = static_cast<std::size_t>(
-        numberIn(payload, "answerBytes", static_cast<std::int64_t>(this->options.answerBytes)));
+    const auto bytes = static_cast<std::size_t>(payloadNumber(
+        payload, "answerBytes", static_cast<std::int64_t>(this->options.answerBytes)));
     while (answer.size() < bytes)
         answer.push_back(static_cast<char>('a' + answer.size() % 26));
     return answer;
 }
 
 void AttemptTable::wait(std::unique_lock<std::mutex> lock, Attempt &attempt, Milliseconds waitFor,
-                        const Tell &tell)
+                        const Callback &callback)
 {
-    if (attempt.view.knowledge != Knowledge::Running || waitFor.count() == 0) {
+    if (attempt.view.state != AttemptState::Running || waitFor.count() == 0) {
         const AttemptView view = attempt.view;
         lock.unlock();
-        tell(view);
+        callback(view);
         return;
     }
-    auto told = std::make_shared<std::atomic<bool>>(false);
-    attempt.waiters.push_back([told, tell](const AttemptView &view) {
-        if (!told->exchange(true))
-            tell(view);
+    auto called = std::make_shared<std::atomic<bool>>(false);
+    attempt.waiters.push_back([called, callback](const AttemptView &view) {
+        if (!called->exchange(true))
+            callback(view);
     });
     lock.unlock();
-    this->timers.runAfter(waitFor, [told, tell] {
-        if (!told->exchange(true))
-            tell({Knowledge::Running, AttemptOutcome::Failed, {}});
+    this->timers.runAfter(waitFor, [called, callback] {
+        if (!called->exchange(true))
+            callback({AttemptState::Running, AttemptOutcome::Failed, {}});
     });
 }
 
@@ -123,9 +124,9 @@
     {
         const std::lock_guard lock(this->mutex);
         Attempt &attempt = this->attempts[key];
-        if (attempt.view.knowledge != Knowledge::Running)
+        if (attempt.view.state != AttemptState::Running)
             return;
-        this->runningNow.erase(key);
+        this->runningAttempts.erase(key);
         attempt.view = endedView(outcome, answer);
         view = attempt.view;
         waiters.swap(attempt.waiters);
@@ -134,20 +135,21 @@
         waiter(view);
 }
 
-void AttemptTable::ask(AttemptId id, Incarnation wanted, Milliseconds waitFor, const Tell &tell)
+void AttemptTable::query(AttemptId id, Incarnation wanted, Milliseconds waitFor,
+                         const Callback &callback)
 {
     this->checkLease();
     std::unique_lock lock(this->mutex);
     const auto found = this->attempts.find({id.task, id.attempt});
     if (found != this->attempts.end() && !found->second.forgotten) {
-        this->wait(std::move(lock), found->second, waitFor, tell);
+        this->wait(std::move(lock), found->second, waitFor, callback);
         return;
     }
     const AttemptView view = wanted == 0 || this->isCurrent(wanted)
-        ? AttemptView{Knowledge::Unknown, AttemptOutcome::Lost, {}}
-        : this->unknown(wanted);
+        ? AttemptView{AttemptState::Unknown, AttemptOutcome::Lost, {}}
+        : this->staleIncarnationView(wanted);
     lock.unlock();
-    tell(view);
+    callback(view);
 }
 
 AttemptView AttemptTable::stop(AttemptId id, Incarnation wanted)
@@ -159,12 +161,12 @@
         const auto found = this->attempts.find(key);
         if (found == this->attempts.end()) {
             AttemptView view = this->isCurrent(wanted)
-                ? endedView(AttemptOutcome::NeverStarted, "refused for ever")
-                : this->unknown(wanted);
+                ? endedView(AttemptOutcome::NeverStarted, "refused permanently")
+                : this->staleIncarnationView(wanted);
             this->attempts[key].view = view;
             return view;
         }
-        if (found->second.view.knowledge == Knowledge::Ended)
+        if (found->second.view.state == AttemptState::Ended)
             return found->second.view;
     }
     this->finish(key, AttemptOutcome::Stopped, "stopped");
@@ -176,9 +178,9 @@
 {
     const std::lock_guard lock(this->mutex);
     const auto found = this->attempts.find({id.task, id.attempt});
-    if (found == this->attempts.end() || found->second.view.knowledge != Knowledge::Ended)
+    if (found == this->attempts.end() || found->second.view.state != AttemptState::Ended)
         return;
-    // Its name stays: a start that arrives now must not run it again.
+    // The entry stays in the table: a start that arrives late must not run the attempt again.
     found->second.forgotten = true;
     found->second.view = endedView(AttemptOutcome::Lost, {});
 }
@@ -188,16 +190,17 @@
     return wanted == this->currentIncarnation;
 }
 
-AttemptView AttemptTable::unknown(Incarnation wanted) const
+AttemptView AttemptTable::staleIncarnationView(Incarnation wanted) const
 {
-    // This process knows all that it started since its first incarnation; of what ran before
-    // that, it knows nothing.
-    const bool ofThisLife = wanted >= this->firstIncarnation && wanted <= this->currentIncarnation;
-    return endedView(ofThisLife ? AttemptOutcome::NeverStarted : AttemptOutcome::Lost,
-                     "the incarnation is over");
+    // Attempts of this process' own incarnations are all in the table, so one that is missing was
+    // never started. The outcome of attempts of earlier processes is unknown.
+    const bool ofThisProcess =
+        wanted >= this->firstIncarnation && wanted <= this->currentIncarnation;
+    return endedView(ofThisProcess ? AttemptOutcome::NeverStarted : AttemptOutcome::Lost,
+                     "the incarnation has ended");
 }
 
-void AttemptTable::leased(Incarnation announced, Instant until)
+void AttemptTable::extendLease(Incarnation announced, Instant until)
 {
     const std::lock_guard lock(this->mutex);
     if (announced != this->currentIncarnation)
@@ -207,18 +210,18 @@
 
 void AttemptTable::checkLease()
 {
-    std::vector<Key> lapsed;
+    std::vector<Key> expired;
     {
         const std::lock_guard lock(this->mutex);
         const bool hadLease = this->leaseUntil != Instant{};
         if (!hadLease || monotonicNow() < this->leaseUntil)
             return;
-        lapsed.assign(this->runningNow.begin(), this->runningNow.end());
+        expired.assign(this->runningAttempts.begin(), this->runningAttempts.end());
         this->leaseUntil = Instant{};
         ++this->currentIncarnation;
     }
-    for (const Key &key : lapsed)
-        this->finish(key, AttemptOutcome::Stopped, "the lease lapsed");
+    for (const Key &key : expired)
+        this->finish(key, AttemptOutcome::Stopped, "the lease expired");
 }
 
 void AttemptTable::failAll(bool fail)
@@ -237,7 +240,7 @@
 {
     const std::lock_guard lock(this->mutex);
     std::vector<AttemptId> ids;
-    for (const auto &[task, attempt] : this->runningNow)
+    for (const auto &[task, attempt] : this->runningAttempts)
         ids.push_back({task, attempt});
     return ids;
 }
--- a/test/standin/attempttable.h
+++ b/test/standin/attempttable.h
@@ -19,54 +19,60 @@
 
 namespace standin {
 
-class Ledger;
+class StartLog;
 
-/// What a target knows of an attempt.
-enum class Knowledge { Running, Ended, Unknown, NoLease };
+/// The state of an attempt as its target knows it. NoLease: the target holds no lease and starts
+/// nothing.
+enum class AttemptState { Running, Ended, Unknown, NoLease };
 
 struct AttemptView
 {
-    Knowledge knowledge = Knowledge::Unknown;
-    guavavalve::AttemptOutcome outcome = guavavalve::AttemptOutcome::Failed; ///< once ended
+    AttemptState state = AttemptState::Unknown;
+    guavavalve::AttemptOutcome outcome =
+        guavavalve::AttemptOutcome::Failed; ///< valid once the attempt has ended
     std::string answer;
 };
 
-/// The attempts of one target: what runs, what has ended, and what is refused for ever.
-/// Thread safe; callbacks are called without its lock.
+/// The attempts of one target: running, ended, and permanently refused ones. Thread safe;
+/// callbacks are invoked without holding the lock.
 class AttemptTable : public std::enable_shared_from_this<AttemptTable>
 {
 public:
-    using Tell = std::function<void(AttemptView)>;
+    using Callback = std::function<void(AttemptView)>;
 
     struct Options
     {
-        int runMs = 0; ///< unless the payload says "runMs=N"
-        std::size_t answerBytes = 0; ///< at least; unless the payload says "answerBytes=N"
+        int runMs = 0; ///< run time, unless the payload says "runMs=N"
+        std::size_t answerBytes = 0; ///< minimum, unless the payload says "answerBytes=N"
         std::int64_t slots = 8;
     };
 
-    AttemptTable(guavavalve::TimerQueue &timers, Ledger &ledger, Options options,
+    AttemptTable(guavavalve::TimerQueue &timers, StartLog &startLog, Options options,
                  guavavalve::Incarnation incarnation);
 
-    /// Starts an attempt, unless it is known already, refused for ever, or of an incarnation that
-    /// is over. \a tell is called when it has ended, or after \a wait.
+    /// Starts an attempt, unless it is known already, has been refused permanently, or belongs to
+    /// an earlier incarnation. Calls \a callback when the attempt has ended, or after \a wait.
     void start(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation,
-               const std::string &payload, guavavalve::Milliseconds wait, const Tell &tell);
+               const std::string &payload, guavavalve::Milliseconds wait, const Callback &callback);
 
-    void ask(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation,
-             guavavalve::Milliseconds wait, const Tell &tell);
+    /// Calls \a callback once the attempt has ended, or after \a wait; at once if it is not
+    /// running.
+    void query(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation,
+               guavavalve::Milliseconds wait, const Callback &callback);
 
-    /// Ends an attempt, or refuses it for ever.
+    /// Stops a running attempt; refuses one that is not known yet permanently.
     AttemptView stop(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation);
 
+    /// Drops the answer of an ended attempt. The attempt still cannot be started again.
     void forget(guavavalve::AttemptId attempt);
 
-    /// The lease of \a announced now lasts until \a until.
-    void leased(guavavalve::Incarnation announced, guavavalve::Instant until);
-    /// Stops everything if the lease is over, and takes a new incarnation: a start that was
-    /// decided under the old lease must not be taken under the next one.
+    /// Extends the lease of the incarnation \a announced until \a until.
+    void extendLease(guavavalve::Incarnation announced, guavavalve::Instant until);
+    /// Stops all attempts and begins a new incarnation if the lease has expired: a start that was
+    /// decided under the old lease must not be accepted under the next one.
     void checkLease();
 
+    /// While \a fail is set, every attempt that is started fails.
     void failAll(bool fail);
 
     guavavalve::Incarnation incarnation() const;
@@ -85,23 +91,23 @@
     };
 
     void wait(std::unique_lock<std::mutex> lock, Attempt &attempt, guavavalve::Milliseconds wait,
-              const Tell &tell);
+              const Callback &callback);
     void run(const Key &key, guavavalve::Incarnation incarnation, const std::string &payload);
     void finish(const Key &key, guavavalve::AttemptOutcome outcome, const std::string &answer);
     bool isCurrent(guavavalve::Incarnation wanted) const;
-    AttemptView unknown(guavavalve::Incarnation wanted) const;
-    std::string answerTo(const std::string &payload) const;
+    AttemptView staleIncarnationView(guavavalve::Incarnation wanted) const;
+    std::string makeAnswer(const std::string &payload) const;
 
     guavavalve::TimerQueue &timers;
-    Ledger &ledger;
+    StartLog &startLog;
     Options options;
     guavavalve::Incarnation firstIncarnation;
     mutable std::mutex mutex;
     guavavalve::Incarnation currentIncarnation;
     guavavalve::Instant leaseUntil{};
     bool failing = false;
-    std::map<Key, Attempt> attempts; ///< kept for as long as the process lives
-    std::set<Key> runningNow;
+    std::map<Key, Attempt> attempts; ///< kept for the lifetime of the process
+    std::set<Key> runningAttempts;
 };
 
 } // namespace standin
--- a/test/standin/faultinjection.h
+++ b/test/standin/faultinjection.h
@@ -2,18 +2,18 @@
 
 namespace standin {
 
-/// How a stand-in target has been told to break the contract; all off at first.
-struct Misbehaviour
+/// The ways in which a stand-in target breaks the target contract; all are off by default.
+struct FaultInjection
 {
     bool failAll = false; ///< every task fails
-    bool half = false; ///< only the first half of each answer is sent
-    bool twice = false; ///< each answer is sent twice over
-    bool wrongAttempt = false; ///< replies name another attempt, and carry its answer
-    bool ignoreStop = false; ///< a stop changes nothing
-    bool silent = false; ///< requests are taken and never answered
-    bool outOfOrder = false; ///< replies overtake one another
-    int lateMs = 0; ///< replies are held for so long
-    int refuseMs = 0; ///< connections are refused for so long, once
+    bool half = false; ///< sends only the first half of each answer
+    bool twice = false; ///< sends each answer twice in one body
+    bool wrongAttempt = false; ///< replies name another attempt but carry this one's answer
+    bool ignoreStop = false; ///< stop requests and revocations have no effect
+    bool silent = false; ///< accepts requests and never answers
+    bool outOfOrder = false; ///< delays every second reply, so that later ones overtake it
+    int lateMs = 0; ///< delay of each reply
+    int refuseMs = 0; ///< refuses connections for this time, once
 };
 
 } // namespace standin
--- a/test/standin/main.cpp
+++ b/test/standin/main.cpp
@@ -7,22 +7,25 @@
 #include <csignal>
 #include <iostream>
 
-ABSL_FLAG(std::string, name, "target", "the target's identity, kept over its restarts");
+ABSL_FLAG(std::string, name, "target", "identity of the target, stable across restarts");
 ABSL_FLAG(std::string, address, "127.0.0.1", "IP to listen on");
-ABSL_FLAG(uint16_t, port, 0, "port to listen on; 0: a free one");
-ABSL_FLAG(std::string, announced_address, "", "ip:port to announce; empty: the one listened on");
-ABSL_FLAG(std::vector<std::string>, entries, {}, "entries (ip:port) to announce to, with commas");
+ABSL_FLAG(uint16_t, port, 0, "port to listen on; 0: any free port");
+ABSL_FLAG(std::string, announced_address, "",
+          "ip:port to announce; empty: the address it listens on");
+ABSL_FLAG(std::vector<std::string>, entries, {},
+          "comma-separated entries (ip:port) to announce to");
 ABSL_FLAG(std::string, failure_domain, "domain-a", "failure domain");
 ABSL_FLAG(std::string, rack, "rack-1", "rack");
 ABSL_FLAG(int64_t, milli_cores, 16000, "processors, in thousandths of a core");
 ABSL_FLAG(int64_t, memory_mb, 32768, "memory in MB");
 ABSL_FLAG(int64_t, accelerators, 0, "accelerators");
-ABSL_FLAG(int64_t, slots, 8, "tasks at once");
-ABSL_FLAG(int64_t, connections, 64, "connections at once");
-ABSL_FLAG(int, run_ms, 0, "how long a task runs, unless its payload says runMs=N");
-ABSL_FLAG(uint64_t, answer_bytes, 0, "least length of an answer, unless answerBytes=N is said");
-ABSL_FLAG(int, announce_ms, 300, "between announcements");
-ABSL_FLAG(std::string, ledger, "", "file to which each real start is appended");
+ABSL_FLAG(int64_t, slots, 8, "concurrent tasks");
+ABSL_FLAG(int64_t, connections, 64, "concurrent connections");
+ABSL_FLAG(int, run_ms, 0, "run time of a task, unless its payload says runMs=N");
+ABSL_FLAG(uint64_t, answer_bytes, 0,
+          "minimum length of an answer, unless the payload says answerBytes=N");
+ABSL_FLAG(int, announce_ms, 300, "interval between announcements");
+ABSL_FLAG(std::string, ledger, "", "file to which each actual start is appended");
 
 namespace {
 
@@ -51,7 +54,8 @@
 int main(int argc, char **argv)
 {
     absl::ParseCommandLine(argc, argv);
-    // Blocked before any thread begins, so that every thread leaves them to sigwait().
+    // Blocked before any thread starts: threads inherit the mask, which leaves the signals to
+    // sigwait().
     sigset_t ending;
     sigemptyset(&ending);
     sigaddset(&ending, SIGTERM);
--- a/test/standin/standintarget.cpp
+++ b/test/standin/standintarget.cpp
@@ -6,7 +6,7 @@
 #include "standin/announcer.h"
 #include "standin/attempttable.h"
 #include "standin/faultinjection.h"
-#include "standin/ledger.h"
+#include "standin/startlog.h"
 #include "targets/announcementjson.h"
 #include "targets/targetcontract.h"
 
@@ -25,7 +25,7 @@
 namespace {
 
 constexpr Milliseconds leaseCheckInterval{20};
-constexpr auto forEver = std::chrono::hours(24 * 365);
+constexpr auto unlimitedLease = std::chrono::hours(24 * 365);
 
 std::int64_t numberParameter(const HttpRequest &request, const std::string &name)
 {
@@ -35,7 +35,7 @@
     return value;
 }
 
-/// What "/v1/attempts/TASK/ATTEMPT[/VERB]" names.
+/// The parsed form of "/v1/attempts/TASK/ATTEMPT[/VERB]".
 struct Path
 {
     AttemptId attempt;
@@ -55,14 +55,14 @@
 
 int statusOf(const AttemptView &view)
 {
-    switch (view.knowledge) {
-    case Knowledge::Running:
+    switch (view.state) {
+    case AttemptState::Running:
         return 202;
-    case Knowledge::Unknown:
+    case AttemptState::Unknown:
         return 404;
-    case Knowledge::NoLease:
+    case AttemptState::NoLease:
         return 503;
-    case Knowledge::Ended:
+    case AttemptState::Ended:
         break;
     }
     const bool refused =
@@ -76,7 +76,7 @@
     response.status = statusOf(view);
     response.contentType = "application/octet-stream";
     response.headers[std::string(attemptHeader)] = attemptName(attempt);
-    if (view.knowledge == Knowledge::Ended) {
+    if (view.state == AttemptState::Ended) {
         response.headers[std::string(outcomeHeader)] = enumName(attemptOutcomeNames, view.outcome);
         response.headers[std::string(answerLengthHeader)] = std::to_string(view.answer.size());
         response.headers[std::string(answerDigestHeader)] = answerDigest(view.answer);
@@ -99,12 +99,12 @@
     Private(TimerQueue &timers, StandInOptions chosen)
         : timers(timers)
         , options(std::move(chosen))
-        , ledger(this->options.ledgerPath)
+        , startLog(this->options.ledgerPath)
     {}
 
     TimerQueue &timers;
     StandInOptions options;
-    Ledger ledger;
+    StartLog startLog;
     std::shared_ptr<AttemptTable> attempts;
     std::unique_ptr<HttpServer> server;
     std::unique_ptr<Announcer> announcer;
@@ -113,7 +113,7 @@
     std::atomic<std::size_t> replies{0};
 
     std::mutex mutex;
-    Misbehaviour misbehaviour;
+    FaultInjection faults;
     bool departing = false;
     std::vector<AttemptId> revoked;
 
@@ -121,17 +121,18 @@
     void addRoutes(HttpServer &listener);
     void serve(const HttpRequest &request, const HttpReply &reply);
     void answer(const HttpReply &reply, AttemptId attempt, const AttemptView &view);
-    void distort(HttpResponse &response, AttemptId attempt, const Misbehaviour &how) const;
+    void applyFaults(HttpResponse &response, AttemptId attempt,
+                     const FaultInjection &injected) const;
     Result<void> control(const std::string &json);
     void refuseFor(Milliseconds time);
     void listenAgain();
     Announcement describe();
-    void announced(const Announcement &sent, Instant sentAt, const AnnouncementReply &reply);
+    void handleReply(const Announcement &sent, Instant sentAt, const AnnouncementReply &reply);
     void watchLease();
-    Misbehaviour current()
+    FaultInjection current()
     {
         const std::lock_guard lock(this->mutex);
-        return this->misbehaviour;
+        return this->faults;
     }
 };
 
@@ -179,30 +180,30 @@
     const Milliseconds wait{numberParameter(request, "waitMs")};
     const auto incarnation = static_cast<Incarnation>(numberParameter(request, "incarnation"));
     auto self = this->shared_from_this();
-    const AttemptTable::Tell tell = [self, reply, attempt](const AttemptView &view) {
+    const AttemptTable::Callback callback = [self, reply, attempt](const AttemptView &view) {
         self->answer(reply, attempt, view);
     };
     if (verb == "start") {
-        this->attempts->start(attempt, incarnation, request.body, wait, tell);
+        this->attempts->start(attempt, incarnation, request.body, wait, callback);
     } else if (verb.empty() || verb == "throttle") {
-        this->attempts->ask(attempt, incarnation, wait, tell);
+        this->attempts->query(attempt, incarnation, wait, callback);
     } else if ((verb == "stop" || verb == "checkpoint") && this->current().ignoreStop) {
-        tell({Knowledge::Running, AttemptOutcome::Failed, {}});
+        callback({AttemptState::Running, AttemptOutcome::Failed, {}});
     } else if (verb == "stop" || verb == "checkpoint") {
-        tell(this->attempts->stop(attempt, incarnation));
+        callback(this->attempts->stop(attempt, incarnation));
     } else {
-        reply(errorResponse(failure(ErrorCode::NotFound, "no such request about an attempt")));
+        reply(errorResponse(failure(ErrorCode::NotFound, "unknown request for an attempt")));
     }
 }
 
-void StandInTarget::Private::distort(HttpResponse &response, AttemptId attempt,
-                                     const Misbehaviour &how) const
+void StandInTarget::Private::applyFaults(HttpResponse &response, AttemptId attempt,
+                                         const FaultInjection &injected) const
 {
-    if (how.half)
+    if (injected.half)
         response.body.resize(response.body.size() / 2);
-    if (how.twice)
+    if (injected.twice)
         response.body += response.body;
-    if (how.wrongAttempt) {
+    if (injected.wrongAttempt) {
         attempt.task = TaskId{idValue(attempt.task) + 1};
         response.headers[std::string(attemptHeader)] = attemptName(attempt);
     }
@@ -211,18 +212,18 @@
 void StandInTarget::Private::answer(const HttpReply &reply, AttemptId attempt,
                                     const AttemptView &view)
 {
-    const Misbehaviour how = this->current();
-    if (how.silent) {
-        // Held for ever, like a reply in a connection that nobody knows any more.
+    const FaultInjection injected = this->current();
+    if (injected.silent) {
+        // Held back longer than any caller waits, like a reply on a connection that has been lost.
         this->timers.runAfter(std::chrono::hours(1), [reply] { reply({}); });
         return;
     }
     HttpResponse response = attemptResponse(attempt, view);
-    this->distort(response, attempt, how);
-    int holdMs = how.lateMs;
-    constexpr int swapMs = 40;
-    if (how.outOfOrder && this->replies++ % 2 == 0)
-        holdMs += swapMs;
+    this->applyFaults(response, attempt, injected);
+    int holdMs = injected.lateMs;
+    constexpr int reorderDelayMs = 40;
+    if (injected.outOfOrder && this->replies++ % 2 == 0)
+        holdMs += reorderDelayMs;
     if (holdMs == 0) {
         reply(std::move(response));
         return;
@@ -238,18 +239,18 @@
     int refuseMs = 0;
     try {
         const std::lock_guard lock(this->mutex);
-        Misbehaviour &how = this->misbehaviour;
-        how.failAll = document.value("failAll", how.failAll);
-        how.half = document.value("half", how.half);
-        how.twice = document.value("twice", how.twice);
-        how.wrongAttempt = document.value("wrongAttempt", how.wrongAttempt);
-        how.ignoreStop = document.value("ignoreStop", how.ignoreStop);
-        how.silent = document.value("silent", how.silent);
-        how.outOfOrder = document.value("outOfOrder", how.outOfOrder);
-        how.lateMs = document.value("lateMs", how.lateMs);
+        FaultInjection &injected = this->faults;
+        injected.failAll = document.value("failAll", injected.failAll);
+        injected.half = document.value("half", injected.half);
+        injected.twice = document.value("twice", injected.twice);
+        injected.wrongAttempt = document.value("wrongAttempt", injected.wrongAttempt);
+        injected.ignoreStop = document.value("ignoreStop", injected.ignoreStop);
+        injected.silent = document.value("silent", injected.silent);
+        injected.outOfOrder = document.value("outOfOrder", injected.outOfOrder);
+        injected.lateMs = document.value("lateMs", injected.lateMs);
         this->departing = document.value("depart", this->departing);
         refuseMs = document.value("refuseMs", 0);
-        this->attempts->failAll(how.failAll);
+        this->attempts->failAll(injected.failAll);
     } catch (const nlohmann::json::exception &problem) {
         return failure(ErrorCode::InvalidArgument, problem.what());
     }
@@ -261,8 +262,8 @@
 void StandInTarget::Private::refuseFor(Milliseconds time)
 {
     auto self = this->shared_from_this();
-    constexpr Milliseconds untilReplied{50};
-    this->timers.runAfter(untilReplied, [self, time] {
+    constexpr Milliseconds replyDelay{50};
+    this->timers.runAfter(replyDelay, [self, time] {
         self->server.reset();
         self->timers.runAfter(time, [self] { self->listenAgain(); });
     });
@@ -270,12 +271,12 @@
 
 void StandInTarget::Private::listenAgain()
 {
-    constexpr Milliseconds pause{50};
+    constexpr Milliseconds retryInterval{50};
     if (this->stopped || this->listen(this->port))
         return;
-    // Another process had the port for a moment.
+    // Another process has taken the port temporarily.
     auto self = this->shared_from_this();
-    this->timers.runAfter(pause, [self] { self->listenAgain(); });
+    this->timers.runAfter(retryInterval, [self] { self->listenAgain(); });
 }
 
 Announcement StandInTarget::Private::describe()
@@ -297,15 +298,15 @@
     return announcement;
 }
 
-void StandInTarget::Private::announced(const Announcement &sent, Instant sentAt,
-                                       const AnnouncementReply &reply)
+void StandInTarget::Private::handleReply(const Announcement &sent, Instant sentAt,
+                                         const AnnouncementReply &reply)
 {
-    this->attempts->leased(sent.incarnation, sentAt + Milliseconds(reply.leaseMs));
+    this->attempts->extendLease(sent.incarnation, sentAt + Milliseconds(reply.leaseMs));
     std::vector<AttemptId> ended;
     if (!this->current().ignoreStop) {
         for (const AttemptId &attempt : reply.revoke) {
             const AttemptView view = this->attempts->stop(attempt, sent.incarnation);
-            if (view.knowledge == Knowledge::Ended)
+            if (view.state == AttemptState::Ended)
                 ended.push_back(attempt);
         }
     }
@@ -345,12 +346,12 @@
     tableOptions.runMs = options.runMs;
     tableOptions.answerBytes = options.answerBytes;
     tableOptions.slots = options.total[ResourceKind::Slots];
-    this->d->attempts =
-        std::make_shared<AttemptTable>(this->d->timers, this->d->ledger, tableOptions, incarnation);
+    this->d->attempts = std::make_shared<AttemptTable>(this->d->timers, this->d->startLog,
+                                                       tableOptions, incarnation);
     if (auto listening = this->d->listen(options.port); !listening)
         return listening.error();
     if (options.entries.empty()) {
-        this->d->attempts->leased(incarnation, monotonicNow() + forEver);
+        this->d->attempts->extendLease(incarnation, monotonicNow() + unlimitedLease);
         return boost::outcome_v2::success();
     }
     Announcer::Hooks hooks;
@@ -362,7 +363,7 @@
     hooks.answered = [weak](const Announcement &sent, Instant sentAt,
                             const AnnouncementReply &reply) {
         if (auto self = weak.lock())
-            self->announced(sent, sentAt, reply);
+            self->handleReply(sent, sentAt, reply);
     };
     hooks.paused = [weak] {
         auto self = weak.lock();
--- a/test/standin/standintarget.h
+++ b/test/standin/standintarget.h
@@ -20,8 +20,9 @@
     std::string name = "target";
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::string announcedAddress; ///< "ip:port"; empty: the one listened on
-    std::vector<std::string> entries; ///< none: announces nowhere, and has its lease for ever
+    std::string announcedAddress; ///< "ip:port"; empty: the address it listens on
+    std::vector<std::string>
+        entries; ///< empty: never announces, and holds a lease that does not expire
     std::string failureDomain = "domain-a";
     std::string rack = "rack-1";
     guavavalve::Resources total{{16000, 32768, 0, 8, 64}};
@@ -29,11 +30,11 @@
     std::size_t answerBytes = 0;
     int announceMs = 300;
     std::string ledgerPath;
-    guavavalve::Incarnation incarnation = 0; ///< 0: made from the time of day
+    guavavalve::Incarnation incarnation = 0; ///< 0: derived from the wall clock
 };
 
-/// A target for tests: keeps the target contract (docs/targets.md) and a ledger of what it
-/// started, and can be told by POST /control to break the contract.
+/// A target for tests. Implements the target contract (docs/targets.md), records its starts in a
+/// start log, and can be instructed by POST /control to break the contract.
 class StandInTarget
 {
 public:
@@ -47,7 +48,8 @@
     std::string address() const; ///< "ip:port"
     guavavalve::Incarnation incarnation() const;
 
-    /// As POST /control with \a json as its body.
+    /// Same as POST /control with the body \a json.
+    /// \errors InvalidArgument if \a json is not an object or a field has the wrong type.
     guavavalve::Result<void> control(const std::string &json);
 
 private:
