--- a/src/runtime/bearertoken.cpp
+++ b/src/runtime/bearertoken.cpp
@@ -12,7 +12,8 @@
     const std::string value = request.header("Authorization");
     if (value.compare(0, scheme.size(), scheme) != 0 || value.size() == scheme.size())
         return failure(ErrorCode::Unauthenticated,
-                       "send the key in the header \"Authorization: Bearer KEYID:SECRET\"");
+                       "missing or malformed Authorization header; expected \"Authorization: "
+                       "Bearer KEYID:SECRET\"");
     return value.substr(scheme.size());
 }
 
--- a/src/runtime/httpclient.h
+++ b/src/runtime/httpclient.h
@@ -56,7 +56,8 @@
         std::string body;
         /// Queued calls are sent in this order; 0 is the most urgent.
         std::uint32_t urgency = 0;
-        /// A call that is still queued at this time fails, as it does at its deadline.
+        /// Latest time to send the call; a call that is still queued then fails, as at its
+        /// deadline.
         Instant leaveBy = Instant::max();
         /// The server may delay the response on purpose: long polls use separate connections, so
         /// that no other call waits behind one.
--- a/src/runtime/httpclientconnection.cpp
+++ b/src/runtime/httpclientconnection.cpp
@@ -60,12 +60,12 @@
 
 void HttpClientConnection::startDeadlineTimer(Instant deadline)
 {
-    this->overdueAt = deadline;
+    this->deadline = deadline;
     this->timer.expires_after(untilDeadline(deadline));
     this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
         // The handler of an expired timer may run after the response of its call has arrived and
         // the connection carries the next call, which has a deadline of its own.
-        if (error || !self->done || monotonicNow() < self->overdueAt)
+        if (error || !self->done || monotonicNow() < self->deadline)
             return;
         self->fail(ErrorCode::DeadlineExceeded, "no response by the deadline");
     });
--- a/src/runtime/httpclientconnection.h
+++ b/src/runtime/httpclientconnection.h
@@ -75,7 +75,7 @@
     std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser;
     boost::beast::flat_buffer buffer;
     Done<HttpResponse> done;
-    Instant overdueAt{};
+    Instant deadline{};
     bool isConnected = false;
     bool isSent = false;
 };
--- a/src/runtime/httpclientpool.cpp
+++ b/src/runtime/httpclientpool.cpp
@@ -30,7 +30,7 @@
     const LaneKey key{address, call.isLongPoll};
     Lane &lane = this->lane(key);
     std::shared_ptr<HttpClientConnection> connection = this->takeIdle(lane);
-    if (!connection && lane.open < this->maxOpen(key) && this->makeRoom())
+    if (!connection && lane.open < this->maxOpen(key) && this->ensureCapacity())
         connection = this->open(key, lane);
     if (connection)
         connection->start(std::move(call), deadline, std::move(done));
@@ -65,7 +65,7 @@
 
 /// True if another connection may be opened. At the limit, closes the one that has been idle
 /// longest.
-bool HttpClientPool::makeRoom()
+bool HttpClientPool::ensureCapacity()
 {
     if (this->counters.open < this->options.maxConnections)
         return true;
@@ -98,8 +98,8 @@
         });
         return;
     }
-    const auto waiting = std::make_shared<WaitingCall>();
-    waiting->overdueAt = deadline;
+    const auto waiting = std::make_shared<QueuedCall>();
+    waiting->deadline = deadline;
     waiting->done = std::move(done);
     waiting->timer = std::make_unique<boost::asio::steady_timer>(
         this->loop->context(), untilDeadline(std::min(deadline, call.leaveBy)));
@@ -107,7 +107,7 @@
         [weak = this->weak_from_this(), key, waiting](boost::system::error_code error) {
             const auto self = weak.lock();
             if (!error && self)
-                self->expireWaiting(key, waiting);
+                self->expireQueued(key, waiting);
         });
     const std::uint32_t urgency = call.urgency;
     waiting->call = std::move(call);
@@ -118,7 +118,7 @@
 }
 
 /// Fails a call that is still queued at its deadline. Nothing of it was sent.
-void HttpClientPool::expireWaiting(const LaneKey &key, const std::shared_ptr<WaitingCall> &waiting)
+void HttpClientPool::expireQueued(const LaneKey &key, const std::shared_ptr<QueuedCall> &waiting)
 {
     CallQueue &queue = this->lane(key).queue;
     const auto [first, last] = queue.equal_range(waiting->call.urgency);
@@ -134,11 +134,11 @@
 
 void HttpClientPool::startNext(Lane &lane, const std::shared_ptr<HttpClientConnection> &connection)
 {
-    const std::shared_ptr<WaitingCall> next = lane.queue.begin()->second;
+    const std::shared_ptr<QueuedCall> next = lane.queue.begin()->second;
     lane.queue.erase(lane.queue.begin());
     --this->counters.waiting;
     next->timer->cancel();
-    connection->start(std::move(next->call), next->overdueAt, std::move(next->done));
+    connection->start(std::move(next->call), next->deadline, std::move(next->done));
 }
 
 void HttpClientPool::completed(const std::shared_ptr<HttpClientConnection> &connection)
@@ -162,7 +162,7 @@
     --this->counters.open;
     if (hasTimedOut)
         this->closeAllIdle(key.peer);
-    if (!lane.queue.empty() && !lane.isStarved && this->makeRoom())
+    if (!lane.queue.empty() && !lane.isStarved && this->ensureCapacity())
         this->startNext(lane, this->open(key, lane));
     else
         this->serveStarved();
@@ -187,7 +187,7 @@
         const LaneKey key = this->starved.front();
         Lane &lane = this->lane(key);
         const bool isServed = lane.queue.empty() || lane.open > 0;
-        if (!isServed && !this->makeRoom())
+        if (!isServed && !this->ensureCapacity())
             return;
         this->starved.pop_front();
         lane.isStarved = false;
--- a/src/runtime/httpclientpool.h
+++ b/src/runtime/httpclientpool.h
@@ -37,14 +37,14 @@
     void closed(const std::shared_ptr<HttpClientConnection> &connection, bool hasTimedOut) override;
 
 private:
-    struct WaitingCall
+    struct QueuedCall
     {
         HttpClient::Call call;
-        Instant overdueAt{};
+        Instant deadline{};
         Done<HttpResponse> done;
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
-    using CallQueue = std::multimap<std::uint32_t, std::shared_ptr<WaitingCall>>; ///< by urgency
+    using CallQueue = std::multimap<std::uint32_t, std::shared_ptr<QueuedCall>>; ///< by urgency
 
     struct Lane
     {
@@ -64,10 +64,10 @@
     std::size_t maxOpen(const LaneKey &key) const;
     std::shared_ptr<HttpClientConnection> takeIdle(Lane &lane);
     std::shared_ptr<HttpClientConnection> open(const LaneKey &key, Lane &lane);
-    bool makeRoom();
+    bool ensureCapacity();
     void wait(const LaneKey &key, Lane &lane, HttpClient::Call call, Instant deadline,
               Done<HttpResponse> done);
-    void expireWaiting(const LaneKey &key, const std::shared_ptr<WaitingCall> &waiting);
+    void expireQueued(const LaneKey &key, const std::shared_ptr<QueuedCall> &waiting);
     void startNext(Lane &lane, const std::shared_ptr<HttpClientConnection> &connection);
     void serveStarved();
     void closeIdle(HttpClientConnection &connection);
--- a/src/runtime/httpconnection.cpp
+++ b/src/runtime/httpconnection.cpp
@@ -79,7 +79,7 @@
 }
 
 /// The reply that is passed to a handler. If the handler drops it without a call, neither the
-/// caller nor a shutdown may wait for ever, so the destructor of the last copy sends an error.
+/// caller nor a shutdown may wait indefinitely, so the destructor of the last copy sends an error.
 class HttpConnection::Reply
 {
 public:
@@ -138,7 +138,7 @@
     this->parser->body_limit(this->owner->options.maxBodyBytes);
     const bool hasBytes = this->buffer.size() > 0;
     const HttpServerOptions &options = this->owner->options;
-    this->overdueAt = monotonicNow() + (hasBytes ? options.transferTimeout : options.idleTimeout);
+    this->deadline = monotonicNow() + (hasBytes ? options.transferTimeout : options.idleTimeout);
     http::async_read_header(
         this->socket, this->buffer, *this->parser,
         [self = this->shared_from_this()](boost::system::error_code error, std::size_t) {
@@ -158,7 +158,7 @@
         this->onRequest({});
         return;
     }
-    this->overdueAt = monotonicNow() + this->owner->options.transferTimeout;
+    this->deadline = monotonicNow() + this->owner->options.transferTimeout;
     auto onRead = [self = this->shared_from_this()](boost::system::error_code failed, std::size_t) {
         self->onRequest(failed);
     };
@@ -187,7 +187,7 @@
         this->handleReadError(error);
         return;
     }
-    this->overdueAt = Instant::max(); // handlers have no time limit here
+    this->deadline = Instant::max(); // handlers have no time limit here
     HttpResponse refused;
     this->isAdmitted = this->owner->admit(this->peer, refused);
     if (!this->isAdmitted) {
@@ -268,7 +268,7 @@
     this->message.keep_alive(isFullyRead && this->parser->keep_alive() && !this->owner->closing);
     this->message.body() = std::move(response.body);
     this->message.prepare_payload();
-    this->overdueAt = monotonicNow() + this->owner->options.transferTimeout;
+    this->deadline = monotonicNow() + this->owner->options.transferTimeout;
     http::async_write(this->socket, this->message,
                       [self = this->shared_from_this()](boost::system::error_code error,
                                                         std::size_t) { self->onAnswered(error); });
@@ -307,9 +307,9 @@
         });
 }
 
-void HttpConnection::closeIfOverdue(Instant now)
+void HttpConnection::closeIfExpired(Instant now)
 {
-    if (now > this->overdueAt)
+    if (now > this->deadline)
         this->close();
 }
 
--- a/src/runtime/httpconnection.h
+++ b/src/runtime/httpconnection.h
@@ -41,7 +41,7 @@
 
     HttpServerOptions options;
     std::atomic<bool> accepting{true};
-    std::atomic<bool> closing{false}; ///< each response closes its connection
+    std::atomic<bool> closing{false}; ///< true: each response closes its connection
 };
 
 /// One connection of a caller: reads a request, passes it to the server, writes the response, and
@@ -55,8 +55,8 @@
     void start();
     void close();
     /// Closes the connection if its deadline has passed, so that a peer that is slow, idle or gone
-    /// cannot hold it for ever.
-    void closeIfOverdue(Instant now);
+    /// cannot hold it indefinitely.
+    void closeIfExpired(Instant now);
 
 private:
     class Reply;
@@ -80,7 +80,7 @@
     std::optional<Parser> parser;
     Message message;
     std::array<char, 4096> discarded{}; ///< input of a refused request, never used
-    Instant overdueAt = Instant::max();
+    Instant deadline = Instant::max();
     bool isAdmitted = false;
     bool isOpen = true;
 };
--- a/src/runtime/httpserver.cpp
+++ b/src/runtime/httpserver.cpp
@@ -203,7 +203,7 @@
         const Instant now = monotonicNow();
         const auto all = self->connections;
         for (const auto &connection : all)
-            connection->closeIfOverdue(now);
+            connection->closeIfExpired(now);
         self->sweep();
     });
 }
--- a/src/runtime/httpserver.h
+++ b/src/runtime/httpserver.h
@@ -64,7 +64,7 @@
     std::size_t maxHeaderBytes = 32U << 10U; ///< larger headers are refused with 431
     std::size_t maxConnections = 8192; ///< further ones are closed at once
     /// Limits reading the rest of a request once part of it has been received, and separately
-    /// writing a response, so that a slow peer cannot hold a connection for ever.
+    /// writing a response, so that a slow peer cannot hold a connection indefinitely.
     Milliseconds transferTimeout{30000};
     Milliseconds idleTimeout{60000}; ///< a connection without a request is closed after this time
     std::shared_ptr<IoLoop> loop; ///< null: the server creates its own
--- a/test/fakes/eventually.h
+++ b/test/fakes/eventually.h
@@ -6,7 +6,7 @@
 
 namespace fakes {
 
-/// Polls \a condition until it holds; false if it does not within a timeout that is far longer than
+/// Polls \a condition until it holds; false if it does not within 30 s, which is far longer than
 /// any test needs.
 inline bool eventually(const std::function<bool()> &condition)
 {
--- a/test/runtime/iolooptest.cpp
+++ b/test/runtime/iolooptest.cpp
@@ -23,7 +23,8 @@
           "[ioloop]")
 {
     // When a server closes, the action that closes its connections may hold the last reference to
-    // the loop. The loop's destructor then joined its own thread, which terminated the process.
+    // the loop. The loop's destructor must not join its own thread, which would terminate the
+    // process.
     for (int i = 0; i < 20; ++i) {
         auto loop = std::make_shared<IoLoop>();
         std::promise<void> gone;
