--- a/src/attribution/attribution.cpp
+++ b/src/attribution/attribution.cpp
@@ -108,7 +108,8 @@
     this->refusals.push_back(summary);
 }
 
-/// "lives" lists "index@incarnation" for each task, "waitedMs" lists "cause:milliseconds".
+/// The field "lives" lists "index@incarnation" for each task, "waitedMs" lists
+/// "cause:milliseconds".
 void Attribution::addPlacement(const LogEvent &event)
 {
     const auto [job, step] = splitStep(event.text("step"));
@@ -124,7 +125,7 @@
     }
 }
 
-/// "runs" lists "job.occurrence.step.index#run=outcome".
+/// The field "runs" lists "job.occurrence.step.index#run=outcome".
 void Attribution::addRunEnds(const LogEvent &event)
 {
     for (const std::string &end : split(event.text("runs"), ',')) {
@@ -162,19 +163,19 @@
 
 std::vector<Span> Attribution::spansWithoutLeader() const
 {
-    // A controller that has work plans at least once a second.
+    // While it has work, a controller logs a plan at least once per second.
     constexpr std::int64_t maxDecisionGapMs = 1200;
-    std::vector<Span> led = this->leaderships;
-    std::sort(led.begin(), led.end());
-    std::vector<Span> without;
-    for (std::size_t i = 1; i < led.size(); ++i) {
-        const Span gap{led[i - 1].second, led[i].first};
+    std::vector<Span> sorted = this->leaderships;
+    std::sort(sorted.begin(), sorted.end());
+    std::vector<Span> gaps;
+    for (std::size_t i = 1; i < sorted.size(); ++i) {
+        const Span gap{sorted[i - 1].second, sorted[i].first};
         if (gap.second - gap.first > 0 && gap.second - gap.first < this->endsAtMs)
-            without.push_back(gap);
+            gaps.push_back(gap);
     }
-    if (!led.empty() && this->endsAtMs - led.back().second > maxDecisionGapMs)
-        without.emplace_back(led.back().second, this->endsAtMs);
-    return without;
+    if (!sorted.empty() && this->endsAtMs - sorted.back().second > maxDecisionGapMs)
+        gaps.emplace_back(sorted.back().second, this->endsAtMs);
+    return gaps;
 }
 
 /// Adds the time that the step's runs lost to \a delays and returns the time that they took within
@@ -199,15 +200,15 @@
             timeOf(delays, *cause) += tookMs;
             continue;
         }
-        const std::int64_t asEstimated =
+        const std::int64_t withinEstimateMs =
             step.estimatedMs == 0 ? tookMs : std::min(tookMs, step.estimatedMs);
-        timeOf(delays, DelayCause::SlowRun) += tookMs - asEstimated;
-        workMs += asEstimated;
+        timeOf(delays, DelayCause::SlowRun) += tookMs - withinEstimateMs;
+        workMs += withinEstimateMs;
     }
     return workMs;
 }
 
-/// The steps of a job wait in sequence, so their waiting times add up.
+/// Summarizes \a job. Its steps wait one after the other, so their waiting times are added.
 JobSummary Attribution::summarize(const Job &job, const std::vector<Span> &withoutLeader) const
 {
     JobSummary summary = job.summary;
--- a/src/attribution/attribution.h
+++ b/src/attribution/attribution.h
@@ -30,6 +30,7 @@
 {
 public:
     void addEvent(const LogEvent &event);
+    /// The findings from the events that have been added so far.
     Findings findings() const;
 
 private:
@@ -64,8 +65,8 @@
 
     std::map<std::string, Job> jobs;
     std::vector<JobSummary> refusals;
-    std::vector<Span> loopLags; ///< periods in which the controller's loop ran late
-    std::vector<Span> leaderships; ///< each from "leads" to the last decision of the process
+    std::vector<Span> loopLags; ///< periods in which the controller's loop was behind schedule
+    std::vector<Span> leaderships; ///< from "leads" to the last decision event of a process
     std::map<std::string, std::size_t> newestLeadership; ///< index into leaderships, by process
     std::int64_t beginsAtMs = 0;
     std::int64_t endsAtMs = 0;
--- a/src/attribution/delaycause.h
+++ b/src/attribution/delaycause.h
@@ -11,14 +11,14 @@
 /// Why a job took longer than its own work.
 enum class DelayCause : std::uint8_t {
     NoLeader, ///< no controller made decisions
-    LeaderLag, ///< the controller's loop ran late
-    Querier, ///< no instance was free to query the admission service
+    LeaderLag, ///< the controller's loop was behind schedule
+    Querier, ///< no instance was free to query the admission service; named "asker" in logs
     Admission, ///< the admission service had not answered yet
     Room, ///< no target that may run it had room
-    Limit, ///< the client account was at its upper limit
+    Limit, ///< the client account was at its upper resource limit
     TargetFailed, ///< a run ended as failed
     TargetLost, ///< a target was disconnected, crashed or left the fleet during a run
-    TargetSilent, ///< a target did not start a run, or refused it
+    TargetSilent, ///< a target did not answer a start order, or rejected it
     GangBroken, ///< another member of the gang ended or did not start
     Moved, ///< a run was stopped and restarted on another target
     SlowRun, ///< a run took longer than its caller had estimated
--- a/src/attribution/report.cpp
+++ b/src/attribution/report.cpp
@@ -231,7 +231,7 @@
            "<style>body{font-family:sans-serif;margin:2em;max-width:1100px}svg{border:1px solid "
            "#ccc}</style></head><body>\n<h1>Delayed jobs</h1>\n";
     drawLegend(out);
-    out << "<h2>Timeline</h2><p>Each bar is a job that was late or never done, from its "
+    out << "<h2>Timeline</h2><p>Each bar is a job that was late, refused or never done, from its "
            "acceptance to its end, in the colour of its main cause. Shaded: no leader. "
         << static_cast<double>(findings.endsAtMs - findings.beginsAtMs) / msPerSecond
         << " s in total.</p>\n";
--- a/src/tool/configurationcommands.cpp
+++ b/src/tool/configurationcommands.cpp
@@ -103,7 +103,7 @@
     return document.value()["sections"][0]["version"].get<std::int64_t>();
 }
 
-/// Writes one section. \a identity is that of the request.
+/// Writes one section. \a identity identifies the request, which makes the write idempotent.
 Result<json> writeSection(const ToolContext &context, const SectionFile &draft,
                           const std::string &identity)
 {
@@ -141,9 +141,9 @@
 /// Whether \a draft equals the stored section.
 Result<bool> isInForce(const ToolContext &context, const SectionFile &draft)
 {
-    const json question{{"drafts", {{{"name", draft.name}, {"content", draft.content}}}}};
-    BOOST_OUTCOME_TRY(
-        check, context.requestJson(jsonRequest("POST", std::string(base) + "/check", question)));
+    const json body{{"drafts", {{{"name", draft.name}, {"content", draft.content}}}}};
+    BOOST_OUTCOME_TRY(check,
+                      context.requestJson(jsonRequest("POST", std::string(base) + "/check", body)));
     return check["acceptable"].get<bool>() && check["differences"].empty();
 }
 
--- a/src/tool/exitcode.h
+++ b/src/tool/exitcode.h
@@ -24,7 +24,7 @@
     {ExitCode::Unavailable, "no server could answer; nothing was changed or run: retry"},
     {ExitCode::Unknown,
      "the request may have been carried out: retry with the same request identity"},
-    {ExitCode::Failed, "ran and failed"},
+    {ExitCode::Failed, "carried out, but failed"},
 }};
 
 /// The exit code that reports \a error.
--- a/src/tool/jobcommands.cpp
+++ b/src/tool/jobcommands.cpp
@@ -158,7 +158,7 @@
          "[FILE]",
          0,
          1,
-         "Submits a job with FILE or the standard input as payload, and prints its number.",
+         "Submits a job with FILE or the standard input as payload, and prints its identifier.",
          {"class", "tasks", "milli_cores", "memory_mb", "accelerators", "slots", "connections",
           "repeatable", "start_within_ms", "finish_within_ms", "run_time_ms", "wait", "request_id"},
          submit},
--- a/src/tool/replaycommand.cpp
+++ b/src/tool/replaycommand.cpp
@@ -28,14 +28,15 @@
 void print(const ToolContext &context, const json &report)
 {
     context.print(formatCell(report["file"])
-                  + (report["passed"].get<bool>() ? ": as recorded, " : ": NOT as recorded, ")
+                  + (report["passed"].get<bool>() ? ": matches the recording, "
+                                                  : ": DIFFERS from the recording, ")
                   + formatCell(report["events"]) + " events, " + formatCell(report["decisions"])
                   + " decisions\n");
     if (!report["firstDifference"].get<std::string>().empty())
         context.print("  " + formatCell(report["firstDifference"]) + "\n");
     for (const json &outcome : report["outcomes"])
         context.print("  " + formatCell(outcome["measure"]) + " = " + formatCell(outcome["value"])
-                      + (outcome["met"].get<bool>() ? ", as stated\n" : ", NOT as stated\n"));
+                      + (outcome["met"].get<bool>() ? ", as expected\n" : ", NOT as expected\n"));
 }
 
 Result<json> replayFile(const std::string &path)
--- a/src/tool/toolcontext.cpp
+++ b/src/tool/toolcontext.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What to do about an error, where its message does not say so.
+/// Advice for the user on \a error; empty if its message suffices.
 std::string adviceFor(const Error &error)
 {
     if (error.ran == Ran::Unknown)
--- a/src/tool/toolflags.cpp
+++ b/src/tool/toolflags.cpp
@@ -9,7 +9,7 @@
 ABSL_FLAG(std::vector<std::string>, server, {"127.0.0.1:7080"},
           "entry instances, as ip:port separated by commas; tried in this order");
 ABSL_FLAG(std::string, key, "",
-          "your key, KEYID:SECRET; the default is the environment variable GUAVAVALVE_KEY");
+          "API key, KEYID:SECRET; the default is the environment variable GUAVAVALVE_KEY");
 ABSL_FLAG(std::string, output, "table", "table (for people) or json (for programs)");
 ABSL_FLAG(std::int64_t, timeout_ms, 30000,
           "how long to wait for the response of one server, in ms");
@@ -31,8 +31,8 @@
 ABSL_FLAG(std::int64_t, slots, 1, "slots for each task");
 ABSL_FLAG(std::int64_t, connections, 1, "connections for each task");
 ABSL_FLAG(bool, repeatable, true, "--norepeatable: run each task at most once");
-ABSL_FLAG(std::int64_t, start_within_ms, 0, "must start within, in ms; 0: no deadline");
-ABSL_FLAG(std::int64_t, finish_within_ms, 0, "must finish within, in ms; 0: no deadline");
+ABSL_FLAG(std::int64_t, start_within_ms, 0, "latest start after submission, in ms; 0: no deadline");
+ABSL_FLAG(std::int64_t, finish_within_ms, 0, "latest end after submission, in ms; 0: no deadline");
 ABSL_FLAG(std::int64_t, run_time_ms, 0, "declared run time, in ms; 0: not declared");
 ABSL_FLAG(std::string, page, "", "also write the findings to this file, as an HTML page");
 
--- a/src/tool/toolmain.cpp
+++ b/src/tool/toolmain.cpp
@@ -21,7 +21,7 @@
 {
     std::vector<std::string> words;
     bool help = false;
-    std::string problem; ///< empty: none
+    std::string error; ///< empty: none
 };
 
 /// Sets the flag that \a text, without its dashes, names. "noNAME" sets a boolean flag to false.
@@ -41,9 +41,9 @@
         return "there is no flag --" + text.substr(0, equals) + "; see --help";
     if (equals == std::string::npos && !flag->IsOfType<bool>())
         return "--" + name + " needs a value: --" + name + "=...";
-    std::string problem;
-    if (!flag->ParseFrom(value, &problem))
-        return "--" + name + "=" + value + ": " + problem;
+    std::string error;
+    if (!flag->ParseFrom(value, &error))
+        return "--" + name + "=" + value + ": " + error;
     return "";
 }
 
@@ -59,8 +59,8 @@
             flagsEnded = true;
         else if (argument == "--help" || argument == "-h")
             line.help = true;
-        else if (line.problem.empty())
-            line.problem = setFlag(argument.substr(argument[1] == '-' ? 2 : 1));
+        else if (line.error.empty())
+            line.error = setFlag(argument.substr(argument[1] == '-' ? 2 : 1));
     }
     return line;
 }
@@ -118,8 +118,8 @@
     options.key = bearerToken();
     options.timeout = Milliseconds(absl::GetFlag(FLAGS_timeout_ms));
     const ToolContext context(HttpSession(options), format.value_or(OutputFormat::Table), out, err);
-    if (!line.problem.empty())
-        return end(context.usageError(line.problem));
+    if (!line.error.empty())
+        return end(context.usageError(line.error));
     if (!format)
         return end(context.usageError("--output must be table or json"));
     for (const ToolCommand &command : toolCommands()) {
@@ -128,9 +128,9 @@
             continue;
         const std::vector<std::string> rest(line.words.begin() + static_cast<long>(nameWords),
                                             line.words.end());
-        const std::string problem = checkArguments(command, rest.size());
-        if (!problem.empty())
-            return end(context.usageError(problem));
+        const std::string error = checkArguments(command, rest.size());
+        if (!error.empty())
+            return end(context.usageError(error));
         return end(command.run(context, rest));
     }
     err << "guavavalve: there is no command \"" << line.words[0] << "\"\n\n" << helpFor(line.words);
