--- a/bench/state/statebench.cpp
+++ b/bench/state/statebench.cpp
@@ -164,10 +164,11 @@
         report("keys", static_cast<double>(document.keys().size()), "");
         report("whole document on the wire", whole, "bytes");
         report("one changed section on the wire", changeBytes / writes, "bytes");
-        report("whole document over one change", whole / (changeBytes / writes), "times");
+        report("size of the document relative to one change", whole / (changeBytes / writes),
+               "times");
         report("applying a write of a section", writing / writes * 1e6, "us");
-        report("answering what changed", answering / writes * 1e6, "us");
-        report("taking over a change at an entry", taking / writes * 1e6, "us");
+        report("computing a change for an entry", answering / writes * 1e6, "us");
+        report("applying a change at an entry instance", taking / writes * 1e6, "us");
     }
 
     void measureTargets()
@@ -267,7 +268,8 @@
         begin = startTiming();
         if (copy.restore(bytes).has_error())
             std::exit(1);
-        report("restoring a snapshot, with its recount", secondsSince(begin) * 1e3, "ms");
+        report("restoring a snapshot, including the rebuild of its counters",
+               secondsSince(begin) * 1e3, "ms");
     }
 
     void measureAttemptEnds()
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Milliseconds orderTimeout{1000};
-constexpr Milliseconds handoverTimeout{3000};
+constexpr Milliseconds leadershipTransferTimeout{3000};
 
 HttpServerOptions httpOptions(const DaemonSettings &settings)
 {
@@ -142,7 +142,7 @@
     }
     this->follower->stop();
     if (this->replica)
-        this->replica->handOver(monotonicNow() + handoverTimeout);
+        this->replica->transferLeadership(monotonicNow() + leadershipTransferTimeout);
     this->server.close();
     logEvent(LogLevel::Information, "shutdown ends", {{"instance", this->settings.instance}});
 }
@@ -211,8 +211,8 @@
     OperatorRoutesOptions options;
     options.client = &this->controller;
     options.identify = [this](const std::string &token) {
-        return identifyOperator(token, this->clusterSecret, [this](const std::string &shown) {
-            return this->follower->identify(shown);
+        return identifyOperator(token, this->clusterSecret, [this](const std::string &presented) {
+            return this->follower->identify(presented);
         });
     };
     options.form = [this](const FormGroupRequest &request, Instant,
@@ -244,11 +244,11 @@
     into.set(Metric::RequestsOpen, static_cast<double>(this->server.inFlight()));
     exportLogMetrics(into);
     exportMessengerMetrics(this->messenger.counters(), into);
-    const CallerCounters callersSeen = this->callers->counters();
+    const CallerCounters counters = this->callers->counters();
     const std::pair<const char *, std::size_t> outcomes[] = {
-        {"accepted", callersSeen.accepted}, {"joined", callersSeen.joined},
-        {"answered", callersSeen.answered}, {"refused", callersSeen.refused},
-        {"failed", callersSeen.failed},     {"unknown", callersSeen.unknown}};
+        {"accepted", counters.accepted}, {"joined", counters.joined},
+        {"answered", counters.answered}, {"refused", counters.refused},
+        {"failed", counters.failed},     {"unknown", counters.unknown}};
     for (const auto &[outcome, requests] : outcomes)
         into.raiseCounterTo(Metric::RequestsTotal, static_cast<double>(requests), {outcome});
     if (this->replica)
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -23,8 +23,8 @@
 
 namespace guavavalve {
 
-/// One instance: its entry, and its replica if a data folder is configured. Only wires the packages
-/// together and contains no logic of its own.
+/// One instance: its entry services, and its replica if a data folder is configured. Only wires the
+/// packages together and contains no logic of its own.
 class Daemon
 {
 public:
@@ -38,8 +38,9 @@
     /// \errors if the data folder or a listener cannot be opened; the message says which and why.
     Result<void> start();
 
-    /// Reports not ready, completes the open requests, transfers leadership and closes. No accepted
-    /// request is aborted unless it is still open when the configured grace period ends.
+    /// Reports not ready, completes the open requests, transfers leadership and closes the
+    /// listeners. No accepted request is aborted unless it is still open when the configured grace
+    /// period ends.
     void shutDown();
 
 private:
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -71,14 +71,14 @@
 int main(int argc, char **argv)
 {
     SignalWatcher::blockSignals();
-    absl::SetProgramUsageMessage("guavavalve's daemon: guavavalved --settings=FILE");
+    absl::SetProgramUsageMessage("the guavavalve daemon; usage: guavavalved --settings=FILE");
     absl::ParseCommandLine(argc, argv);
     if (absl::GetFlag(FLAGS_help_settings)) {
         std::fputs(settingsHelp().c_str(), stdout);
         return 0;
     }
     if (absl::GetFlag(FLAGS_settings).empty())
-        return fail(exitBadSettings, "name the settings with --settings=FILE");
+        return fail(exitBadSettings, "no settings file given; use --settings=FILE");
     const auto settings = loadSettings(absl::GetFlag(FLAGS_settings));
     if (!settings)
         return fail(exitBadSettings, settings.error().message);
--- a/src/daemon/replicaruntime.cpp
+++ b/src/daemon/replicaruntime.cpp
@@ -96,19 +96,19 @@
 std::vector<ReplicaMember> ReplicaRuntime::spares()
 {
     const std::lock_guard lock(this->mutex);
-    std::vector<ReplicaMember> found;
+    std::vector<ReplicaMember> candidates;
     if (!this->ready)
-        return found;
+        return candidates;
     // Only instances that currently report to the controller. The log itself skips those that are
     // members already.
     for (const EntryInfo &entry : this->cell->entries()) {
         if (entry.holdsReplica && !entry.address.empty())
-            found.push_back({entry.instance, entry.address});
+            candidates.push_back({entry.instance, entry.address});
     }
-    return found;
+    return candidates;
 }
 
-void ReplicaRuntime::handOver(Instant deadline)
+void ReplicaRuntime::transferLeadership(Instant deadline)
 {
     if (this->node->status().role != ReplicaRole::Leader)
         return;
--- a/src/daemon/replicaruntime.h
+++ b/src/daemon/replicaruntime.h
@@ -29,8 +29,10 @@
             observeWait;
     };
 
-    /// Opens the data folder and registers the RPC handlers with \a messenger. The messenger must
-    /// be started afterwards and must outlive this object. \errors those of openRaftNode().
+    /// Opens the data folder and registers the RPC handlers with \a messenger, which must be
+    /// started afterwards and must outlive this object.
+    ///
+    /// \errors those of openRaftNode().
     static Result<std::unique_ptr<ReplicaRuntime>> open(const DaemonSettings &settings,
                                                         const std::string &clusterSecret,
                                                         Messenger &messenger, Hooks hooks);
@@ -43,13 +45,14 @@
     const ClusterStateMachine &state() const { return this->machine; }
 
     /// Transfers leadership to another replica if this one leads; waits until \a deadline at most.
-    void handOver(Instant deadline);
+    void transferLeadership(Instant deadline);
     void stop();
 
 private:
     explicit ReplicaRuntime(Messenger &messenger);
 
     void leadershipChanged(bool leads);
+    /// The instances that could replace a lost replica.
     std::vector<ReplicaMember> spares();
 
     ClusterStateMachine machine;
--- a/test/scenarios/cell.cpp
+++ b/test/scenarios/cell.cpp
@@ -60,7 +60,7 @@
 Cell::Cell(std::string build, std::string folder)
     : build(std::move(build))
     , folder(std::move(folder))
-    , secret("a secret of scenarios only")
+    , secret("a cluster secret for scenarios")
 {}
 
 Cell::~Cell() = default;
@@ -90,7 +90,7 @@
                       status);
 }
 
-std::string Cell::operate(const std::string &arguments)
+std::string Cell::runAsOperator(const std::string &arguments)
 {
     int status = 0;
     std::string printed = this->runTool(arguments, this->operatorKey, status);
@@ -178,7 +178,7 @@
         this->runTool("config set team.mill " + section, this->operatorKey, status);
         return status == 0;
     });
-    this->key = this->operate("keys grant --team=mill");
+    this->key = this->runAsOperator("keys grant --team=mill");
 }
 
 void Cell::restartEntry(int number)
@@ -211,7 +211,7 @@
         this->restartTarget(static_cast<int>(this->targets.size()));
     }
     waitUntil("the targets are ready", [&] {
-        const std::string list = this->operate("targets list");
+        const std::string list = this->runAsOperator("targets list");
         int ready = 0;
         for (std::size_t at = list.find(" ready "); at != std::string::npos;
              at = list.find(" ready ", at + 1))
--- a/test/scenarios/cell.h
+++ b/test/scenarios/cell.h
@@ -15,7 +15,7 @@
 /// Throws std::runtime_error, naming \a what, if it does not hold within 60 s.
 void waitUntil(const std::string &what, const std::function<bool()> &condition);
 
-/// A small cell of separate processes: entries that hold replicas, and stand-in targets behind
+/// A small cell of separate processes: entry instances with replicas, and stand-in targets behind
 /// forwarders.
 class Cell
 {
@@ -48,7 +48,7 @@
     /// The lines of all targets' start logs.
     std::vector<std::string> startLogLines() const;
     /// Runs the command-line tool with the operator's key; throws std::runtime_error if it fails.
-    std::string operate(const std::string &arguments);
+    std::string runAsOperator(const std::string &arguments);
 
 private:
     struct Entry
--- a/test/scenarios/childprocess.h
+++ b/test/scenarios/childprocess.h
@@ -17,7 +17,7 @@
     ChildProcess &operator=(const ChildProcess &) = delete;
 
     void kill(); ///< sends SIGKILL and waits for the end
-    void terminate(); ///< sends SIGTERM and waits for the end
+    void terminate(); ///< sends SIGTERM and waits until the process ends by itself
     void freeze(); ///< sends SIGSTOP
     void thaw(); ///< sends SIGCONT
     bool isRunning(); ///< false while frozen
--- a/test/scenarios/story.cpp
+++ b/test/scenarios/story.cpp
@@ -62,7 +62,7 @@
     for (std::string word; stream >> word;)
         words.push_back(word);
     if (words.size() == 1 && words[0] == "operate") {
-        std::cout << this->cell.operate(rest) << std::endl;
+        std::cout << this->cell.runAsOperator(rest) << std::endl;
         return;
     }
     if (words.size() < 2)
@@ -240,7 +240,8 @@
 void Story::waitFor(const Words &words)
 {
     if (words.size() < 4 || words[1] != "until")
-        fail("usage: wait until started|answered|finished NAME, or wait until starts COUNT");
+        fail("usage: wait until started|answered|finished NAME, starts COUNT, controller any, "
+             "ready ENTRY, or seconds COUNT");
     const std::string &what = words[2];
     const std::string &pattern = words[3];
     if (what == "starts") {
@@ -266,7 +267,7 @@
     for (const Submission *each : this->matching(pattern)) {
         waitUntil(each->name() + " is " + what, [&] {
             if (what == "started")
-                return this->startsOf(each->name()) > 0;
+                return this->startCount(each->name()) > 0;
             if (what == "finished")
                 return this->isFinished(*each);
             return each->isAnswered();
@@ -298,26 +299,28 @@
         if (what == "ran" && each->bodyField("ran") != words.at(3))
             fail("expected \"ran\" to be \"" + words.at(3) + "\": " + this->describe(*each));
         if (what == "honest")
-            this->expectHonest(*each);
+            this->expectConsistentReply(*each);
     }
 }
 
-void Story::expectStarts(const std::string &pattern, const std::string &how)
+void Story::expectStarts(const std::string &pattern, const std::string &expected)
 {
     for (const Submission *each : this->matching(pattern)) {
-        const std::size_t starts = this->startsOf(each->name());
-        const bool holds = (how == "once" && starts == 1) || (how == "never" && starts == 0)
-            || (how == "at-most-once" && starts <= 1) || (how == "some" && starts >= 1);
+        const std::size_t starts = this->startCount(each->name());
+        const bool holds = (expected == "once" && starts == 1)
+            || (expected == "never" && starts == 0) || (expected == "at-most-once" && starts <= 1)
+            || (expected == "some" && starts >= 1);
         if (!holds)
-            fail(each->name() + " was started " + std::to_string(starts) + " times, not " + how);
+            fail(each->name() + " was started " + std::to_string(starts) + " times, not "
+                 + expected);
     }
 }
 
 /// The reply must be the complete answer of a task that was started, or a refusal that is
 /// consistent with the targets' start logs.
-void Story::expectHonest(const Submission &submission) const
+void Story::expectConsistentReply(const Submission &submission) const
 {
-    const std::size_t starts = this->startsOf(submission.name());
+    const std::size_t starts = this->startCount(submission.name());
     const fakes::HttpAnswer answer = submission.answer();
     const std::string ran = submission.bodyField("ran");
     if (answer.status == 0)
@@ -344,7 +347,7 @@
     return found;
 }
 
-std::size_t Story::startsOf(const std::string &name) const
+std::size_t Story::startCount(const std::string &name) const
 {
     const std::vector<std::string> lines = this->cell.startLogLines();
     const std::string mark = " id=" + name + " ";
@@ -358,7 +361,7 @@
 {
     const fakes::HttpAnswer answer = submission.answer();
     return submission.name() + ": status " + std::to_string(answer.status) + ", started "
-        + std::to_string(this->startsOf(submission.name())) + " times, body "
+        + std::to_string(this->startCount(submission.name())) + " times, body "
         + answer.body.substr(0, 300);
 }
 
--- a/test/scenarios/story.h
+++ b/test/scenarios/story.h
@@ -32,10 +32,10 @@
     void control(int target, const std::string &json);
     void waitFor(const Words &words);
     void expect(const Words &words);
-    void expectStarts(const std::string &pattern, const std::string &how);
-    void expectHonest(const Submission &submission) const;
+    void expectStarts(const std::string &pattern, const std::string &expected);
+    void expectConsistentReply(const Submission &submission) const;
     std::vector<const Submission *> matching(const std::string &pattern) const;
-    std::size_t startsOf(const std::string &name) const;
+    std::size_t startCount(const std::string &name) const;
     std::string describe(const Submission &submission) const;
     bool isFinished(const Submission &submission);
 
--- a/test/scenarios/submission.h
+++ b/test/scenarios/submission.h
@@ -24,7 +24,7 @@
     bool isAnswered() const { return this->answered; }
     /// Status 0 means that the connection broke before a reply arrived, or has not arrived yet.
     fakes::HttpAnswer answer() const;
-    std::string job() const; ///< the job's number, or an empty string while it is not known
+    std::string job() const; ///< the job's identifier, or an empty string while it is not known
     /// The field \a name of the JSON body of the reply, or an empty string.
     std::string bodyField(const std::string &name) const;
     /// True if the reply is the complete answer to this submission's own payload.
--- a/test/standin/announcer.cpp
+++ b/test/standin/announcer.cpp
@@ -44,7 +44,7 @@
 {
     if (this->stopped)
         return;
-    if (this->hooks.paused()) {
+    if (this->hooks.isPaused()) {
         this->scheduleNext(true);
         return;
     }
@@ -76,7 +76,7 @@
                 const auto reply = parseAnnouncementReply(body.get());
                 answered = reply.has_value();
                 if (answered && !self->stopped)
-                    self->hooks.answered(announcement, sentAt, reply.value());
+                    self->hooks.onReply(announcement, sentAt, reply.value());
             } catch (const std::exception &) {
                 answered = false;
             }
--- a/test/standin/announcer.h
+++ b/test/standin/announcer.h
@@ -21,12 +21,12 @@
 public:
     struct Hooks
     {
-        std::function<guavavalve::Announcement()> describe;
+        std::function<guavavalve::Announcement()> describe; ///< the announcement to send
         /// Called with the controller's reply and the time at which its announcement was sent.
         std::function<void(const guavavalve::Announcement &sent, guavavalve::Instant sentAt,
                            const guavavalve::AnnouncementReply &reply)>
-            answered;
-        std::function<bool()> paused; ///< true: skips announcements, like a frozen process
+            onReply;
+        std::function<bool()> isPaused; ///< true: skips announcements, like a frozen process
     };
 
     Announcer(guavavalve::TimerQueue &timers, std::vector<std::string> entries,
--- a/test/standin/attempttable.cpp
+++ b/test/standin/attempttable.cpp
@@ -180,7 +180,7 @@
     const auto found = this->attempts.find({id.task, id.attempt});
     if (found == this->attempts.end() || found->second.view.state != AttemptState::Ended)
         return;
-    // The entry stays in the table: a start that arrives late must not run the attempt again.
+    // The record stays in the table: a start that arrives late must not run the attempt again.
     found->second.forgotten = true;
     found->second.view = endedView(AttemptOutcome::Lost, {});
 }
@@ -224,7 +224,7 @@
         this->finish(key, AttemptOutcome::Stopped, "the lease expired");
 }
 
-void AttemptTable::failAll(bool fail)
+void AttemptTable::setFailAll(bool fail)
 {
     const std::lock_guard lock(this->mutex);
     this->failing = fail;
--- a/test/standin/attempttable.h
+++ b/test/standin/attempttable.h
@@ -28,8 +28,7 @@
 struct AttemptView
 {
     AttemptState state = AttemptState::Unknown;
-    guavavalve::AttemptOutcome outcome =
-        guavavalve::AttemptOutcome::Failed; ///< valid once the attempt has ended
+    guavavalve::AttemptOutcome outcome = guavavalve::AttemptOutcome::Failed; ///< valid once ended
     std::string answer;
 };
 
@@ -60,7 +59,7 @@
     void query(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation,
                guavavalve::Milliseconds wait, const Callback &callback);
 
-    /// Stops a running attempt; refuses one that is not known yet permanently.
+    /// Stops a running attempt; permanently refuses an attempt that is not known yet.
     AttemptView stop(guavavalve::AttemptId attempt, guavavalve::Incarnation incarnation);
 
     /// Drops the answer of an ended attempt. The attempt still cannot be started again.
@@ -73,7 +72,7 @@
     void checkLease();
 
     /// While \a fail is set, every attempt that is started fails.
-    void failAll(bool fail);
+    void setFailAll(bool fail);
 
     guavavalve::Incarnation incarnation() const;
     std::vector<guavavalve::AttemptId> running() const;
--- a/test/standin/standintarget.cpp
+++ b/test/standin/standintarget.cpp
@@ -250,7 +250,7 @@
         injected.lateMs = document.value("lateMs", injected.lateMs);
         this->departing = document.value("depart", this->departing);
         refuseMs = document.value("refuseMs", 0);
-        this->attempts->failAll(injected.failAll);
+        this->attempts->setFailAll(injected.failAll);
     } catch (const nlohmann::json::exception &problem) {
         return failure(ErrorCode::InvalidArgument, problem.what());
     }
@@ -274,7 +274,7 @@
     constexpr Milliseconds retryInterval{50};
     if (this->stopped || this->listen(this->port))
         return;
-    // Another process has taken the port temporarily.
+    // Another process has taken the port temporarily; retries until it is free.
     auto self = this->shared_from_this();
     this->timers.runAfter(retryInterval, [self] { self->listenAgain(); });
 }
@@ -360,12 +360,12 @@
         auto self = weak.lock();
         return self ? self->describe() : Announcement{};
     };
-    hooks.answered = [weak](const Announcement &sent, Instant sentAt,
-                            const AnnouncementReply &reply) {
+    hooks.onReply = [weak](const Announcement &sent, Instant sentAt,
+                           const AnnouncementReply &reply) {
         if (auto self = weak.lock())
             self->handleReply(sent, sentAt, reply);
     };
-    hooks.paused = [weak] {
+    hooks.isPaused = [weak] {
         auto self = weak.lock();
         return !self || self->current().silent;
     };
--- a/test/standin/standintarget.h
+++ b/test/standin/standintarget.h
@@ -21,8 +21,7 @@
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     std::string announcedAddress; ///< "ip:port"; empty: the address it listens on
-    std::vector<std::string>
-        entries; ///< empty: never announces, and holds a lease that does not expire
+    std::vector<std::string> entries; ///< empty: never announces; its lease does not expire
     std::string failureDomain = "domain-a";
     std::string rack = "rack-1";
     guavavalve::Resources total{{16000, 32768, 0, 8, 64}};
--- a/test/standin/startlog.h
+++ b/test/standin/startlog.h
@@ -10,7 +10,7 @@
 
 /// A target's own record of the attempts that it actually started, one line each:
 /// "TASK ATTEMPT INCARNATION PAYLOAD", with the payload truncated.
-/// A line "over TASK ATTEMPT" says that this start exceeded the target's slots.
+/// A line "over TASK ATTEMPT" says that this start overcommitted the target's slots.
 class StartLog
 {
 public:
