--- a/src/runtime/httpclient.h
+++ b/src/runtime/httpclient.h
@@ -58,7 +58,7 @@
         std::uint32_t urgency = 0;
         /// Latest time to send the call; a call that is still queued then fails, as at its
         /// deadline.
-        Instant leaveBy = Instant::max();
+        Instant sendBy = Instant::max();
         /// The server may delay the response on purpose: long polls use separate connections, so
         /// that no other call waits behind one.
         bool isLongPoll = false;
--- a/src/runtime/httpclientpool.cpp
+++ b/src/runtime/httpclientpool.cpp
@@ -102,7 +102,7 @@
     waiting->deadline = deadline;
     waiting->done = std::move(done);
     waiting->timer = std::make_unique<boost::asio::steady_timer>(
-        this->loop->context(), untilDeadline(std::min(deadline, call.leaveBy)));
+        this->loop->context(), untilDeadline(std::min(deadline, call.sendBy)));
     waiting->timer->async_wait(
         [weak = this->weak_from_this(), key, waiting](boost::system::error_code error) {
             const auto self = weak.lock();
--- a/src/workflows/targetagents.cpp
+++ b/src/workflows/targetagents.cpp
@@ -82,7 +82,7 @@
     carried.order = order;
     carried.answerWithinMs = msUntil(deadline - replyMargin, now);
     if constexpr (std::is_same_v<Order, StartOrder>)
-        carried.leaveWithinMs = msUntil(order.leaveBy, now);
+        carried.leaveWithinMs = msUntil(order.sendBy, now);
     this->messenger.call(agent, Method::ForwardOrder, encode(carried), deadline,
                          [this, agent, post = this->options.post,
                           done = std::move(done)](Result<std::string> reply) {
--- a/src/workflows/targetagentservice.cpp
+++ b/src/workflows/targetagentservice.cpp
@@ -42,13 +42,13 @@
         : port(port)
         , target(targetOf(carried))
         , deadline(now + Milliseconds(carried.answerWithinMs))
-        , leaveBy(now + Milliseconds(carried.leaveWithinMs))
+        , sendBy(now + Milliseconds(carried.leaveWithinMs))
         , reply(reply)
     {}
 
     void operator()(StartOrder order) const
     {
-        order.leaveBy = this->leaveBy;
+        order.sendBy = this->sendBy;
         this->port.start(this->target, order, this->deadline, replyWith<OrderAnswer>(this->reply));
     }
     void operator()(const StopOrder &order) const
@@ -64,7 +64,7 @@
     TargetPort &port;
     TargetIdentity target;
     Instant deadline;
-    Instant leaveBy;
+    Instant sendBy;
     const Done<std::string> &reply;
 };
 
--- a/src/workflows/targetport.h
+++ b/src/workflows/targetport.h
@@ -31,9 +31,9 @@
     /// them.
     std::uint32_t priority = 0;
     /// The order is not sent at all if it is still waiting to be sent then.
-    Instant leaveBy = Instant::max();
+    Instant sendBy = Instant::max();
 
-    /// Leaves out leaveBy, which is a time on this instance's clock.
+    /// Leaves out sendBy, which is a time on this instance's clock.
     template<typename Archive>
     void serialize(Archive &archive)
     {
@@ -79,7 +79,8 @@
     NoTicket, ///< the admission ticket is missing or has expired
     Fenced, ///< the target has accepted orders of a later controller
     Refused, ///< by an unhealthy target, or for a malformed order; nothing was done
-    OtherLife, ///< another incarnation of the target, or another target, answers at the address
+    OtherIncarnation, ///< another incarnation of the target, or another target, answers at the
+                      ///< address
 };
 
 inline constexpr EnumNames<OrderReply, 8> orderReplyNames{{
@@ -90,7 +91,7 @@
     {OrderReply::NoTicket, "no-ticket"},
     {OrderReply::Fenced, "fenced"},
     {OrderReply::Refused, "refused"},
-    {OrderReply::OtherLife, "other-life"},
+    {OrderReply::OtherIncarnation, "other-life"},
 }};
 
 struct OrderAnswer
--- a/src/workflows/targetsession.cpp
+++ b/src/workflows/targetsession.cpp
@@ -59,7 +59,7 @@
     run.phase = Phase::Sending;
     run.placedAt = this->clock();
     run.order = std::move(order);
-    run.order.leaveBy = run.placedAt + this->limits.unansweredStartLimit;
+    run.order.sendBy = run.placedAt + this->limits.unansweredStartLimit;
     this->runs[task] = std::move(run);
     if (isTrial)
         this->trialUntil = this->clock() + this->limits.earlyLossWindow;
@@ -270,7 +270,7 @@
 /// Returns false if the session can no longer be used.
 bool TargetSession::processReply(OrderReply reply)
 {
-    if (reply == OrderReply::OtherLife) {
+    if (reply == OrderReply::OtherIncarnation) {
         this->hooks.incarnationOver();
         return false;
     }
@@ -462,7 +462,7 @@
 void TargetSession::onStart(const TaskAddress &task, RunNumber number,
                             const Result<OrderAnswer> &answer)
 {
-    if (answer && answer.value().reply != OrderReply::OtherLife)
+    if (answer && answer.value().reply != OrderReply::OtherIncarnation)
         this->answered(answer.value().clockMs);
     const auto found = this->runs.find(task);
     if (found == this->runs.end() || found->second.run != number
--- a/test/runtime/httpclienttest.cpp
+++ b/test/runtime/httpclienttest.cpp
@@ -279,7 +279,7 @@
     auto first = this->send(peer.server.port(), callOf("/"));
     auto second = this->send(peer.server.port(), callOf("/"));
     HttpClient::Call brief = callOf("/");
-    brief.leaveBy = monotonicNow() + Milliseconds(100);
+    brief.sendBy = monotonicNow() + Milliseconds(100);
     const auto late = this->send(peer.server.port(), brief).get();
     REQUIRE(!late);
     CHECK(late.error().code == ErrorCode::LimitExceeded);
--- a/test/workflows/simulatedfleet.cpp
+++ b/test/workflows/simulatedfleet.cpp
@@ -410,7 +410,7 @@
         target.name, true, deadline, std::move(done),
         [this, order, startedAtMs = target.startedAtMs, sentAt = this->loop.now()](Target &at) {
             if (at.identity.startedAtMs != startedAtMs)
-                return OrderAnswer{OrderReply::OtherLife, 0};
+                return OrderAnswer{OrderReply::OtherIncarnation, 0};
             return this->startRun(at, order, sentAt);
         });
 }
@@ -422,7 +422,7 @@
         target.name, true, deadline, std::move(done),
         [this, order, startedAtMs = target.startedAtMs](Target &at) {
             if (at.identity.startedAtMs != startedAtMs)
-                return OrderAnswer{OrderReply::OtherLife, 0};
+                return OrderAnswer{OrderReply::OtherIncarnation, 0};
             if (order.term < at.fence)
                 return OrderAnswer{OrderReply::Fenced, this->clockOf(at)};
             at.fence = order.term;
@@ -451,7 +451,7 @@
         target.name, false, deadline, std::move(done),
         [this, order, startedAtMs = target.startedAtMs](Target &at) {
             HoldAnswer answer;
-            answer.reply = OrderReply::OtherLife;
+            answer.reply = OrderReply::OtherIncarnation;
             if (at.identity.startedAtMs != startedAtMs)
                 return answer;
             answer.clockMs = this->clockOf(at);
--- a/test/workflows/targetagentstest.cpp
+++ b/test/workflows/targetagentstest.cpp
@@ -166,7 +166,7 @@
     order.run = 1;
     order.term = 1;
     order.leaseUntilMs = 6000;
-    order.leaveBy = loop.now() + Milliseconds(250);
+    order.sendBy = loop.now() + Milliseconds(250);
     Result<OrderAnswer> started = failure(ErrorCode::Internal, "not answered");
     port->start(target, order, loop.now() + Milliseconds(700),
                 [&](const Result<OrderAnswer> &answer) { started = answer; });
