--- a/test/runtime/httpclienttest.cpp
+++ b/test/runtime/httpclienttest.cpp
@@ -272,8 +272,8 @@
         reply({});
 }
 
-TEST_CASE_METHOD(LimitedClientFixture,
-                 "a call that is still queued at its leaveBy time has not run", "[httpclient]")
+TEST_CASE_METHOD(LimitedClientFixture, "a call that is still queued at its sendBy time has not run",
+                 "[httpclient]")
 {
     DeferringServer peer;
     auto first = this->send(peer.server.port(), callOf("/"));
